--- a/cli/src/main/java/org/tamaracktrack/cli/command/DiffCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/DiffCommand.java
@@ -9,9 +9,9 @@
 import org.tamaracktrack.cli.ExitCode;
 import org.tamaracktrack.cli.output.Output;
 import org.tamaracktrack.cli.output.Table;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.config.DocumentDifference;
 import org.tamaracktrack.core.config.DocumentDifference.Change;
-import org.tamaracktrack.core.config.InForce;
 import org.tamaracktrack.link.codec.Codecs;
 import org.tamaracktrack.link.codec.Documents;
 
@@ -38,7 +38,7 @@
         // Through the same text form as the published one, so that 1 and 1L are no difference.
         Map<String, Object> wanted =
                 Documents.parseJson(Documents.canonicalJson(document.document()));
-        InForce inForce = log().inForce(environment);
+        ConfigurationInForce inForce = log().inForce(environment);
         List<Change> changes =
                 DocumentDifference.between(Documents.parseJson(inForce.document()), wanted);
         Table table = Table.of("path", "in force", "file");
--- a/cli/src/main/java/org/tamaracktrack/cli/command/LogOptions.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/LogOptions.java
@@ -6,7 +6,7 @@
 import org.tamaracktrack.cli.log.ConfigurationLog;
 import org.tamaracktrack.cli.log.Patience;
 import org.tamaracktrack.cli.log.TimedPatience;
-import org.tamaracktrack.core.config.InForce;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.link.log.LogClient;
@@ -60,7 +60,7 @@
         return configuration;
     }
 
-    InForce inForce(Environment environment) {
+    ConfigurationInForce inForce(Environment environment) {
         return configuration(environment)
                 .inForce()
                 .orElseThrow(
--- a/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
@@ -14,9 +14,9 @@
 import org.tamaracktrack.cli.output.Output;
 import org.tamaracktrack.cli.output.OutputFormat;
 import org.tamaracktrack.core.config.ConfigurationEvent;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.config.ConfigurationReader;
 import org.tamaracktrack.core.config.ConfigurationReading;
-import org.tamaracktrack.core.config.InForce;
 import org.tamaracktrack.core.config.Warning;
 import org.tamaracktrack.core.id.PublicationId;
 import org.tamaracktrack.core.log.LogEntry.Publication;
@@ -79,7 +79,7 @@
 
     private Publication publication(
             Environment environment, ConfigurationLog configuration, Map<String, Object> tree) {
-        long inForce = configuration.inForce().map(InForce::version).orElse(-1L);
+        long inForce = configuration.inForce().map(ConfigurationInForce::version).orElse(-1L);
         long base =
                 Optional.ofNullable(basedOn)
                         .filter(text -> !text.equals("-1"))
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ShowCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ShowCommand.java
@@ -8,7 +8,7 @@
 import org.tamaracktrack.cli.ExitCode;
 import org.tamaracktrack.cli.output.Output;
 import org.tamaracktrack.cli.output.OutputFormat;
-import org.tamaracktrack.core.config.InForce;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.link.codec.Codecs;
 import org.tamaracktrack.link.codec.Documents;
 
@@ -29,7 +29,7 @@
     @Override
     public ExitCode run(Environment environment) {
         Output output = output(environment);
-        InForce inForce = log().inForce(environment);
+        ConfigurationInForce inForce = log().inForce(environment);
         Map<String, Object> tree = Documents.parseJson(inForce.document());
         if (output.format() == OutputFormat.JSON) {
             Map<String, Object> result = new LinkedHashMap<>();
--- a/cli/src/main/java/org/tamaracktrack/cli/command/StatusCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/StatusCommand.java
@@ -19,7 +19,7 @@
 import org.tamaracktrack.cli.output.OutputFormat;
 import org.tamaracktrack.cli.output.Table;
 import org.tamaracktrack.core.config.Configuration.Target;
-import org.tamaracktrack.core.config.InForce;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.lease.Duty;
 import org.tamaracktrack.core.lease.Lease;
 import org.tamaracktrack.core.log.LogEntry.DrainRequested;
@@ -63,7 +63,7 @@
         Patience patience = log().patience(environment);
         ConfigurationLog configuration = ConfigurationLog.of(client);
         configuration.readToEnd(patience);
-        Optional<InForce> inForce = configuration.inForce();
+        Optional<ConfigurationInForce> inForce = configuration.inForce();
         OwnershipLog ownership = OwnershipLog.of(client);
         ownership.readToEnd(patience);
         Plan plan = plan(client, patience);
@@ -78,8 +78,11 @@
     }
 
     private static void write(
-            Output output, Optional<InForce> inForce, Plan plan, Map<String, Table> tables) {
-        long version = inForce.map(InForce::version).orElse(-1L);
+            Output output,
+            Optional<ConfigurationInForce> inForce,
+            Plan plan,
+            Map<String, Table> tables) {
+        long version = inForce.map(ConfigurationInForce::version).orElse(-1L);
         if (output.format() == OutputFormat.JSON) {
             Map<String, Object> result = new LinkedHashMap<>();
             result.put("configurationVersion", version);
@@ -124,7 +127,7 @@
         return new Plan(register, newestMillis.get());
     }
 
-    private static Table targets(Optional<InForce> inForce, OwnershipLog ownership) {
+    private static Table targets(Optional<ConfigurationInForce> inForce, OwnershipLog ownership) {
         Table table =
                 Table.of(
                         "target",
--- a/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
@@ -5,8 +5,8 @@
 import java.util.Objects;
 import java.util.Optional;
 import org.tamaracktrack.core.config.ConfigurationEvent;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.config.ConfigurationRegister;
-import org.tamaracktrack.core.config.InForce;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.id.PublicationId;
@@ -27,7 +27,7 @@
                         LogStream.CONFIGURATION,
                         record -> events.addAll(register.handle(record)),
                         register::handleUnreadable,
-                        first -> events.addAll(register.gap(first)));
+                        first -> events.addAll(register.handleGap(first)));
     }
 
     /**
@@ -57,7 +57,7 @@
      * @throws TamaracktrackException with {@code LOG_GAP} when records expired and the log holds no
      *     snapshot to go on from, so that nobody can tell
      */
-    public Optional<InForce> inForce() {
+    public Optional<ConfigurationInForce> inForce() {
         if (register.awaitsSnapshot()) {
             throw TamaracktrackException.of(
                     ErrorCode.LOG_GAP,
--- a/cli/src/main/java/org/tamaracktrack/cli/log/Publisher.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/Publisher.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import org.tamaracktrack.core.config.ConfigurationEvent;
-import org.tamaracktrack.core.config.InForce;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.log.LogEntry.Publication;
@@ -95,7 +95,7 @@
     }
 
     private void checkBase(Publication publication) {
-        long inForce = configuration.inForce().map(InForce::version).orElse(-1L);
+        long inForce = configuration.inForce().map(ConfigurationInForce::version).orElse(-1L);
         if (inForce != publication.basedOn()) {
             throw TamaracktrackException.of(
                     ErrorCode.SUPERSEDED,
--- a/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
+++ b/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.config.ConfigurationEvent;
-import org.tamaracktrack.core.config.InForce;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.id.PublicationId;
@@ -51,7 +51,7 @@
     private long inForce() {
         ConfigurationLog reader = ConfigurationLog.of(log);
         reader.readToEnd(patience(0));
-        return reader.inForce().map(InForce::version).orElse(-1L);
+        return reader.inForce().map(ConfigurationInForce::version).orElse(-1L);
     }
 
     private boolean isInForce(String id) {
@@ -160,6 +160,6 @@
                                 instanceof Publication publication
                         && publication.publication().value().equals("mine");
         assertThat(accepted).isEqualTo(mineFirst);
-        assertThat(reader.inForce().map(InForce::version).orElse(-1L)).isEqualTo(0);
+        assertThat(reader.inForce().map(ConfigurationInForce::version).orElse(-1L)).isEqualTo(0);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/AcceptedHistory.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/AcceptedHistory.java
@@ -11,57 +11,60 @@
 import java.util.TreeMap;
 import org.tamaracktrack.core.id.PublicationId;
 
-/** What a reader remembers of the stream: versions accepted of late, and publications seen. */
+/**
+ * Keeps the recently accepted versions and the identifiers of recent publications, so that
+ * snapshots and offers can be verified and repeated publications recognized.
+ */
 final class AcceptedHistory {
-    static final int REMEMBERED_PUBLICATIONS = 256;
-    private static final int REMEMBERED_VERSIONS = 32;
+    static final int MAXIMUM_PUBLICATIONS = 256;
+    private static final int MAXIMUM_VERSIONS = 32;
 
     private final TreeMap<Long, String> documents = new TreeMap<>();
-    private final Deque<PublicationId> seenInOrder = new ArrayDeque<>();
-    private final Set<PublicationId> seen = new LinkedHashSet<>();
-    private long knownFrom;
+    private final Deque<PublicationId> publicationsInOrder = new ArrayDeque<>();
+    private final Set<PublicationId> publicationIds = new LinkedHashSet<>();
+    private long coveredFrom;
 
-    /** Starts anew: nothing is known of offsets before {@code from}. */
+    /** Clears the history; afterwards it covers no offset before {@code from}. */
     void restart(long from, List<PublicationId> publications) {
         documents.clear();
-        seenInOrder.clear();
-        seen.clear();
-        knownFrom = from;
-        publications.forEach(this::see);
+        publicationsInOrder.clear();
+        publicationIds.clear();
+        coveredFrom = from;
+        publications.forEach(this::addPublication);
     }
 
-    void accept(long version, String document) {
+    void addAccepted(long version, String document) {
         documents.put(version, document);
-        if (documents.size() > REMEMBERED_VERSIONS) {
+        if (documents.size() > MAXIMUM_VERSIONS) {
             documents.pollFirstEntry();
-            knownFrom = Math.max(knownFrom, documents.firstKey() + 1);
+            coveredFrom = Math.max(coveredFrom, documents.firstKey() + 1);
         }
     }
 
-    boolean see(PublicationId publication) {
-        if (!seen.add(publication)) {
+    boolean addPublication(PublicationId publication) {
+        if (!publicationIds.add(publication)) {
             return false;
         }
-        seenInOrder.addLast(publication);
-        if (seenInOrder.size() > REMEMBERED_PUBLICATIONS) {
-            seen.remove(seenInOrder.removeFirst());
+        publicationsInOrder.addLast(publication);
+        if (publicationsInOrder.size() > MAXIMUM_PUBLICATIONS) {
+            publicationIds.remove(publicationsInOrder.removeFirst());
         }
         return true;
     }
 
-    boolean knows(long upTo) {
-        return upTo >= knownFrom;
+    boolean covers(long upTo) {
+        return upTo >= coveredFrom;
     }
 
     Optional<Map.Entry<Long, String>> inForceBefore(long upTo) {
         return Optional.ofNullable(documents.lowerEntry(upTo));
     }
 
-    boolean accepted(long version, String document) {
+    boolean isAccepted(long version, String document) {
         return document.equals(documents.get(version));
     }
 
     List<PublicationId> publications() {
-        return new ArrayList<>(seenInOrder);
+        return new ArrayList<>(publicationsInOrder);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/AccountReader.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/AccountReader.java
@@ -18,13 +18,13 @@
 import org.tamaracktrack.core.id.ServiceId;
 import org.tamaracktrack.core.id.TemplateId;
 
-/** Reads client accounts whose templates have been expanded. */
+/** Reads client accounts from document sections in which the templates have been expanded. */
 final class AccountReader {
-    static final ModelId NO_MODEL = ModelId.of("none");
+    static final ModelId PLACEHOLDER_MODEL = ModelId.of("none");
 
-    private static final RequestClassId NO_CLASS = RequestClassId.of("none");
+    private static final RequestClassId PLACEHOLDER_CLASS = RequestClassId.of("none");
     private static final Pattern KEY_HASH = Pattern.compile("[0-9a-f]{64}");
-    private static final double MINIMUM_RATE = 0.001;
+    private static final double MINIMUM_RATE_PER_SECOND = 0.001;
 
     private final Map<RequestClassId, RequestClass> classes;
     private final Map<ModelId, Model> models;
@@ -58,26 +58,28 @@
                         id,
                         template,
                         keyHashes(section),
-                        optional(section, "models", ModelId::of, models.keySet()),
-                        optional(section, "adapters", AdapterId::of, adapters.keySet()),
-                        optional(section, "services", ServiceId::of, services.keySet()),
+                        optionalReferences(section, "models", ModelId::of, models.keySet()),
+                        optionalReferences(section, "adapters", AdapterId::of, adapters.keySet()),
+                        optionalReferences(section, "services", ServiceId::of, services.keySet()),
                         ownClasses,
                         section.reference("defaultClass", RequestClassId::of, ownClasses)
-                                .orElse(NO_CLASS),
+                                .orElse(PLACEHOLDER_CLASS),
                         section.flag("idempotentByDefault", false),
                         (int) section.integer("share", 1, ConfigurationReader.MAXIMUM_COUNT),
                         (int) section.integer("cap", 1, ConfigurationReader.MAXIMUM_COUNT),
                         section.decimal(
-                                "ratePerSecond", MINIMUM_RATE, ConfigurationReader.MAXIMUM_COUNT),
+                                "ratePerSecond",
+                                MINIMUM_RATE_PER_SECOND,
+                                ConfigurationReader.MAXIMUM_COUNT),
                         (int) section.integer("queueLimit", 0, ConfigurationReader.MAXIMUM_COUNT));
-        checkBases(section, account);
-        section.finish();
+        checkAdapterBases(section, account);
+        section.reportUnknownKeys();
         return account;
     }
 
-    private static <T> Set<T> optional(
-            Section section, String key, Function<String, T> type, Set<T> defined) {
-        return section.has(key) ? section.references(key, type, defined) : Set.of();
+    private static <T> Set<T> optionalReferences(
+            Section section, String key, Function<String, T> factory, Set<T> defined) {
+        return section.has(key) ? section.references(key, factory, defined) : Set.of();
     }
 
     private static List<String> keyHashes(Section section) {
@@ -91,7 +93,7 @@
                 .filter(hash -> !seen.add(hash))
                 .forEach(
                         hash ->
-                                section.problem(
+                                section.addProblem(
                                         ProblemKind.DUPLICATE,
                                         "keyHashes",
                                         hash + ", a second time",
@@ -99,15 +101,15 @@
         return hashes;
     }
 
-    // An account with an adapter and without its base model would be refused on every call, since
-    // a call names both.
-    private void checkBases(Section section, ClientAccount account) {
+    // A call names both the adapter and its base model, so an account without the base model would
+    // have every call to the adapter refused.
+    private void checkAdapterBases(Section section, ClientAccount account) {
         account.adapters().stream()
                 .filter(id -> !account.models().contains(adapters.get(id).base()))
                 .sorted()
                 .forEach(
                         id ->
-                                section.problem(
+                                section.addProblem(
                                         ProblemKind.UNKNOWN_NAME,
                                         "adapters",
                                         "adapter " + id + " of model " + adapters.get(id).base(),
--- a/core/src/main/java/org/tamaracktrack/core/config/Configuration.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/Configuration.java
@@ -17,11 +17,11 @@
 import org.tamaracktrack.core.id.TemplateId;
 
 /**
- * A configuration with its templates expanded: what every process works from.
+ * A valid configuration with its templates expanded, as used by every process.
  *
- * @param moveCost the weight of one move against one request served within its class, 0 or more
+ * @param moveCost the cost of one move, relative to one request served within its class; 0 or more
  * @param weightStore the limits of the weight store
- * @param idempotencyWindowMillis how long a key is remembered
+ * @param idempotencyWindowMillis how long an idempotency key is remembered
  * @param classes the request classes by name
  * @param models the models by name
  * @param adapters the adapters by name
@@ -54,20 +54,21 @@
     /**
      * The limits of the weight store.
      *
-     * @param loadsPerSecond loads that may start in a second
-     * @param concurrentLoads loads at once at full speed
+     * @param loadsPerSecond the number of loads that may start per second
+     * @param concurrentLoads the number of concurrent loads that the store serves at full speed
      */
     public record WeightStoreLimits(double loadsPerSecond, int concurrentLoads) {}
 
     /**
-     * A request class and its objectives.
+     * A request class and its latency objectives.
      *
      * @param id its name
-     * @param firstTokenMillis from arrival to the first token, or to the head of a service's answer
-     * @param betweenTokensMillis mean time between tokens
-     * @param totalMillis from arrival to the end of the answer; also the deadline
-     * @param weight its share of a busy target against the other classes, above 0
-     * @param queueLimit how many requests of the class may wait at one target
+     * @param firstTokenMillis the time from arrival to the first token, or to the response head for
+     *     a plain service
+     * @param betweenTokensMillis the mean time between tokens
+     * @param totalMillis the time from arrival to the end of the response; also the deadline
+     * @param weight its weight against the other classes at a busy target, above 0
+     * @param queueLimit the maximum number of requests of the class queued at one target
      */
     public record RequestClass(
             RequestClassId id,
@@ -81,8 +82,8 @@
      * A model.
      *
      * @param id its name
-     * @param version the version that is to be resident
-     * @param memoryMebibytes accelerator memory for its weights
+     * @param version the version to load
+     * @param memoryMebibytes the accelerator memory that its weights need
      */
     public record Model(ModelId id, String version, long memoryMebibytes) {}
 
@@ -91,8 +92,8 @@
      *
      * @param id its name
      * @param base its base model
-     * @param version the version that is to be resident
-     * @param memoryMebibytes accelerator memory for its weights
+     * @param version the version to load
+     * @param memoryMebibytes the accelerator memory that its weights need
      */
     public record Adapter(AdapterId id, ModelId base, String version, long memoryMebibytes) {}
 
@@ -100,7 +101,7 @@
      * A plain service.
      *
      * @param id its name
-     * @param repeatableMethods the HTTP methods of calls that may be run again
+     * @param repeatableMethods the HTTP methods whose calls may be executed more than once
      */
     public record Service(ServiceId id, Set<String> repeatableMethods) {
 
@@ -110,7 +111,7 @@
         }
     }
 
-    /** What a target is. */
+    /** The kind of a target: a model engine or an instance of a plain service. */
     public enum TargetKind {
         ENGINE,
         SERVICE
@@ -123,11 +124,11 @@
      * @param kind engine or plain service
      * @param host the host it runs on
      * @param dataCentre the host's data centre
-     * @param endpoint IP number and port of the engine or service
-     * @param concurrency how many requests it runs at once
+     * @param endpoint the IP address and port of the engine or service
+     * @param concurrency the maximum number of requests it runs concurrently
      * @param accelerators its accelerators; none for a plain service
      * @param checksFencing whether the engine refuses orders with an old fencing number
-     * @param service the plain service it is an instance of
+     * @param service the plain service it is an instance of; empty for an engine
      */
     public record Target(
             TargetId id,
@@ -151,26 +152,29 @@
      *
      * @param id its name
      * @param memoryMebibytes its memory
-     * @param cacheMebibytes the part of it set aside for KV cache
+     * @param cacheMebibytes the part of its memory reserved for the KV cache
      */
     public record Accelerator(AcceleratorId id, long memoryMebibytes, long cacheMebibytes) {}
 
     /**
-     * A client account, made from a template with parameters.
+     * A client account, created from a template and its parameters.
      *
      * @param id its name
-     * @param template the template it was made from
-     * @param keyHashes SHA-256 hashes in hex of the keys that prove the account
+     * @param template the template it was created from
+     * @param keyHashes the SHA-256 hashes, in hexadecimal, of the keys that authenticate the
+     *     account
      * @param models the models it may use
      * @param adapters the adapters it may use
      * @param services the plain services it may use
      * @param classes the request classes it may use
      * @param defaultClass the class of a request that names none
-     * @param idempotentByDefault whether a model request that says nothing may be run again
+     * @param idempotentByDefault whether a model request without an idempotency setting may be
+     *     executed more than once
      * @param share its weight against other accounts within a class, above 0
-     * @param cap how many of its requests may run at once at one target
-     * @param ratePerSecond how many requests a second one entry daemon admits for it
-     * @param queueLimit how many of its requests may wait at one target
+     * @param cap the maximum number of its requests running concurrently at one target
+     * @param ratePerSecond the maximum number of requests per second that one entry daemon admits
+     *     for it
+     * @param queueLimit the maximum number of its requests queued at one target
      */
     public record ClientAccount(
             ClientAccountId id,
--- a/core/src/main/java/org/tamaracktrack/core/config/ConfigurationReader.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ConfigurationReader.java
@@ -19,9 +19,9 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * Reads a configuration document: a tree of maps, lists, texts, numbers and booleans, however it
- * was written. Reading is a pure function of the tree, so that every process that reads the same
- * document comes to the same verdict.
+ * Reads and validates a configuration document, given as a tree of maps, lists, strings, numbers
+ * and booleans, independent of its textual format. Reading is a pure function of the tree, so that
+ * every process that reads the same document gets the same result.
  */
 public final class ConfigurationReader {
     /** The newest document format that this release reads. */
@@ -34,8 +34,8 @@
     static final String VERSION_FORM = "1 to 64 characters of letters, digits and . _ -";
 
     private static final double MAXIMUM_MOVE_COST = 1_000_000;
-    private static final double MINIMUM_RATE = 0.001;
-    private static final long MINIMUM_WINDOW_MILLIS = 1_000;
+    private static final double MINIMUM_LOADS_PER_SECOND = 0.001;
+    private static final long MINIMUM_IDEMPOTENCY_WINDOW_MILLIS = 1_000;
     private static final int MAXIMUM_CLASS_WEIGHT = 1_000;
     private static final Pattern METHOD = Pattern.compile("[A-Z]{1,20}");
 
@@ -47,7 +47,7 @@
      * Reads a document.
      *
      * @param tree the document
-     * @return the configuration with its warnings, or every problem there is
+     * @return the configuration with its warnings, or every problem found
      */
     public static ConfigurationReading read(Map<String, Object> tree) {
         Objects.requireNonNull(tree, "tree is null");
@@ -55,24 +55,24 @@
     }
 
     /**
-     * Returns whether a document states a format that only a later release reads.
+     * Returns whether a document has a format that only a later release can read.
      *
      * @param tree the document
-     * @return true when it does
+     * @return true when the format is newer than {@link #FORMAT}
      */
     public static boolean isOfLaterFormat(Map<String, Object> tree) {
         return tree.get("format") instanceof Integer format && format > FORMAT;
     }
 
     private ConfigurationReading readDocument(Map<String, Object> tree) {
-        if (!DocumentLimits.holds(tree, problems)) {
+        if (!DocumentLimits.check(tree, problems)) {
             return rejected();
         }
         if (isOfLaterFormat(tree)) {
             problems.add(
                     ProblemKind.UNSUPPORTED_FORMAT,
                     "format",
-                    Values.describe(tree.get("format")),
+                    DocumentValues.describe(tree.get("format")),
                     "at most " + FORMAT + "; upgrade the programs first");
             return rejected();
         }
@@ -82,7 +82,7 @@
             return rejected();
         }
         Configuration configuration = configuration(document, expansion);
-        document.finish();
+        document.reportUnknownKeys();
         return problems.isEmpty()
                 ? new ConfigurationReading.Accepted(
                         configuration, ConfigurationWarnings.of(configuration))
@@ -95,7 +95,7 @@
 
     private Configuration configuration(Section document, TemplateExpansion expansion) {
         document.integer("format", 1, FORMAT, FORMAT);
-        expansion.markRead(document);
+        expansion.markKeysKnown(document);
         Map<RequestClassId, RequestClass> classes =
                 document.entries("classes", RequestClassId::of, ConfigurationReader::requestClass);
         Map<ModelId, Model> models =
@@ -116,7 +116,9 @@
                         document.decimal("moveCost", 0, MAXIMUM_MOVE_COST),
                         weightStore(document.child("weightStore")),
                         document.integer(
-                                "idempotencyWindowMillis", MINIMUM_WINDOW_MILLIS, MAXIMUM_MILLIS),
+                                "idempotencyWindowMillis",
+                                MINIMUM_IDEMPOTENCY_WINDOW_MILLIS,
+                                MAXIMUM_MILLIS),
                         classes,
                         models,
                         adapters,
@@ -130,9 +132,9 @@
     private static WeightStoreLimits weightStore(Section section) {
         WeightStoreLimits limits =
                 new WeightStoreLimits(
-                        section.decimal("loadsPerSecond", MINIMUM_RATE, MAXIMUM_COUNT),
+                        section.decimal("loadsPerSecond", MINIMUM_LOADS_PER_SECOND, MAXIMUM_COUNT),
                         (int) section.integer("concurrentLoads", 1, MAXIMUM_COUNT));
-        section.finish();
+        section.reportUnknownKeys();
         return limits;
     }
 
@@ -145,7 +147,7 @@
                         section.integer("totalMillis", 1, MAXIMUM_MILLIS),
                         (int) section.integer("weight", 1, MAXIMUM_CLASS_WEIGHT),
                         (int) section.integer("queueLimit", 0, MAXIMUM_COUNT));
-        section.finish();
+        section.reportUnknownKeys();
         return result;
     }
 
@@ -155,7 +157,7 @@
                         id,
                         section.text("version", VERSION, VERSION_FORM),
                         section.integer("memoryMebibytes", 1, MAXIMUM_MEBIBYTES));
-        section.finish();
+        section.reportUnknownKeys();
         return result;
     }
 
@@ -164,10 +166,10 @@
                 new Adapter(
                         id,
                         section.reference("base", ModelId::of, models.keySet())
-                                .orElse(AccountReader.NO_MODEL),
+                                .orElse(AccountReader.PLACEHOLDER_MODEL),
                         section.text("version", VERSION, VERSION_FORM),
                         section.integer("memoryMebibytes", 1, MAXIMUM_MEBIBYTES));
-        section.finish();
+        section.reportUnknownKeys();
         return result;
     }
 
@@ -180,7 +182,7 @@
                                         "repeatableMethods",
                                         METHOD,
                                         "an HTTP method in capitals, such as GET")));
-        section.finish();
+        section.reportUnknownKeys();
         return result;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/ConfigurationReading.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ConfigurationReading.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.Objects;
 
-/** What {@link ConfigurationReader} made of a document. */
+/** The result of reading a document with {@link ConfigurationReader}. */
 public sealed interface ConfigurationReading {
 
     /**
      * The document is valid.
      *
      * @param configuration the document with its templates expanded
-     * @param warnings what it cannot keep
+     * @param warnings the requirements that it cannot satisfy
      */
     record Accepted(Configuration configuration, List<Warning> warnings)
             implements ConfigurationReading {
@@ -25,7 +25,7 @@
     /**
      * The document is not valid.
      *
-     * @param problems every reason, in the order of their paths
+     * @param problems every problem found, in the order of their paths
      */
     record Rejected(List<Problem> problems) implements ConfigurationReading {
 
--- a/core/src/main/java/org/tamaracktrack/core/config/ConfigurationRegister.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ConfigurationRegister.java
@@ -26,23 +26,23 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * Decides which configuration is in force, from the records of the configuration stream in offset
- * order. The log can't compare and set, so every reader applies the same rule: a publication is
- * accepted when it is based on the version in force at its offset and its document is valid; its
- * offset is then the version. Not safe for use by several threads.
+ * Determines which configuration is in force from the records of the configuration stream, read in
+ * offset order. The log has no compare-and-set operation, so every reader applies the same rule: a
+ * publication is accepted when it is based on the version in force at its offset and its document
+ * is valid; its offset then becomes the version. Not thread-safe.
  */
 public final class ConfigurationRegister {
-    private static final int MAXIMUM_WAITING = 1_000;
+    private static final int MAXIMUM_BUFFERED_RECORDS = 1_000;
 
     private final DocumentParser parser;
     private final AcceptedHistory history = new AcceptedHistory();
-    private final TreeSet<Long> unreadable = new TreeSet<>();
-    private final Deque<LogRecord> waiting = new ArrayDeque<>();
-    private Optional<InForce> confirmed = Optional.empty();
-    private Optional<InForce> offered = Optional.empty();
-    private long next;
-    private boolean started = true;
-    private long waitingFrom;
+    private final TreeSet<Long> unreadableOffsets = new TreeSet<>();
+    private final Deque<LogRecord> bufferedRecords = new ArrayDeque<>();
+    private Optional<ConfigurationInForce> confirmed = Optional.empty();
+    private Optional<ConfigurationInForce> offered = Optional.empty();
+    private long nextOffset;
+    private boolean hasCompleteState = true;
+    private long bufferedFrom;
     private boolean following;
 
     private ConfigurationRegister(DocumentParser parser) {
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Returns a register that has read nothing.
+     * Returns a register that has not read any record yet.
      *
-     * @param parser parses documents; the same one at every reader
+     * @param parser parses documents; must behave identically at every reader
      * @return the register
      */
     public static ConfigurationRegister of(DocumentParser parser) {
@@ -61,214 +61,226 @@
     }
 
     /**
-     * Returns the configuration in force.
+     * Returns the configuration in force: an offered one while the log has not confirmed or
+     * replaced it, otherwise the newest one that the log confirms.
      *
      * @return the configuration; empty while none is known
      */
-    public Optional<InForce> inForce() {
+    public Optional<ConfigurationInForce> inForce() {
         return offered.isPresent() ? offered : confirmed;
     }
 
     /**
-     * Returns the version that the log shows to be in force.
+     * Returns the version of the newest configuration accepted from the log.
      *
-     * @return the version, -1 for none
+     * @return the version, or -1 if there is none
      */
     public long confirmedVersion() {
-        return confirmed.map(InForce::version).orElse(-1L);
+        return confirmed.map(ConfigurationInForce::version).orElse(-1L);
     }
 
     /**
-     * Returns the offset of the next record.
+     * Returns the offset of the next record to read.
      *
      * @return the offset
      */
     public long nextOffset() {
-        return next;
+        return nextOffset;
     }
 
     /**
-     * Returns whether records expired unread, and no snapshot has been found to go on from.
+     * Returns whether this register needs a snapshot to continue, because records expired before
+     * they were read or a publication has a later document format.
      *
      * @return true when a snapshot is needed
      */
     public boolean awaitsSnapshot() {
-        return !started;
+        return !hasCompleteState;
     }
 
     /**
-     * Returns whether every record there was has been read, and the log could be read last.
+     * Returns whether every record up to the end of the log has been read and the log was reachable
+     * at the last read.
      *
-     * @return true when the log is followed
+     * @return true when this register is up to date with the log
      */
     public boolean isFollowing() {
         return following;
     }
 
     /**
-     * Returns a snapshot of what the log shows to be in force, for others to start from.
+     * Returns a snapshot of the configuration that the log confirms, from which other readers can
+     * start.
      *
-     * @return the snapshot; empty when this reader does not know enough to write one
+     * @return the snapshot; empty when no configuration is confirmed or this register itself needs
+     *     a snapshot
      */
     public Optional<ConfigurationSnapshot> snapshot() {
         return confirmed
-                .filter(known -> started)
+                .filter(known -> hasCompleteState)
                 .map(
                         known ->
                                 new ConfigurationSnapshot(
-                                        next,
+                                        nextOffset,
                                         known.version(),
                                         known.document(),
                                         history.publications()));
     }
 
     /**
-     * Takes the next record.
+     * Processes the next record. A jump in the offsets is handled like expired records.
      *
      * @param record the record
-     * @return what came of it; empty for a record that was read before
+     * @return the resulting events; empty for a record that was read before
      */
     public List<ConfigurationEvent> handle(LogRecord record) {
         Objects.requireNonNull(record, "record is null");
-        if (record.offset() < next) {
+        if (record.offset() < nextOffset) {
             return List.of();
         }
         List<ConfigurationEvent> events = new ArrayList<>();
         skipUnreadable();
-        if (record.offset() > next) {
-            events.addAll(gap(record.offset()));
+        if (record.offset() > nextOffset) {
+            events.addAll(handleGap(record.offset()));
         }
-        next = record.offset() + 1;
-        if (started) {
-            events.addAll(judge(record));
+        nextOffset = record.offset() + 1;
+        if (hasCompleteState) {
+            events.addAll(evaluate(record));
         } else {
-            events.addAll(seekStart(record));
+            events.addAll(handleWhileAwaitingSnapshot(record));
         }
-        events.addAll(checkOffer());
+        events.addAll(verifyOffer());
         return events;
     }
 
     /**
-     * Hears of a record that is not understood. Every reader passes over it alike.
+     * Records that the record at an offset can't be decoded. Every reader skips such a record.
      *
-     * @param offset its offset
+     * @param offset the record's offset
      */
     public void handleUnreadable(long offset) {
-        if (offset >= next) {
-            unreadable.add(offset);
+        if (offset >= nextOffset) {
+            unreadableOffsets.add(offset);
         }
     }
 
     /**
-     * Hears that records have expired.
+     * Handles the expiry of records before an offset. If any of them were unread, this register
+     * waits for a snapshot.
      *
-     * @param firstOffset the oldest record there still is
-     * @return what came of it
+     * @param firstOffset the offset of the oldest record that the log still has
+     * @return the resulting events; empty when no unread record expired
      */
-    // Passing over expired records would leave this reader with a version that others know to be
-    // superseded, and would have it accept what they reject: it must take a snapshot instead.
-    public List<ConfigurationEvent> gap(long firstOffset) {
+    // Skipping expired records would leave this reader at a version that other readers know to be
+    // superseded, and it would accept publications that they reject. It must use a snapshot
+    // instead.
+    public List<ConfigurationEvent> handleGap(long firstOffset) {
         skipUnreadable();
-        if (firstOffset <= next) {
+        if (firstOffset <= nextOffset) {
             return List.of();
         }
-        ConfigurationEvent event = new Gap(next, firstOffset);
-        next = firstOffset;
+        ConfigurationEvent event = new Gap(nextOffset, firstOffset);
+        nextOffset = firstOffset;
         awaitSnapshotFrom(firstOffset);
         return List.of(event);
     }
 
     /**
-     * Hears that every record there was has been handed over.
+     * Handles the end of a read that reached the end of the log.
      *
-     * @param nextOffset the offset of the record to be appended next
-     * @return what came of it
+     * @param logEndOffset the offset that the next appended record will get
+     * @return the resulting events
      */
-    public List<ConfigurationEvent> caughtUp(long nextOffset) {
+    public List<ConfigurationEvent> handleEndOfLog(long logEndOffset) {
         skipUnreadable();
-        following = started && nextOffset == next;
-        return nextOffset < next
-                ? List.of(new InvariantBroken(Breach.LOG_WENT_BACK, nextOffset))
-                : checkOffer();
+        following = hasCompleteState && logEndOffset == nextOffset;
+        return logEndOffset < nextOffset
+                ? List.of(new InvariantBroken(Breach.LOG_WENT_BACK, logEndOffset))
+                : verifyOffer();
     }
 
-    /** Hears that the log can't be read. */
-    public void unreachable() {
+    /** Records that the log can't be read at present. */
+    public void handleLogUnreachable() {
         following = false;
     }
 
     /**
-     * Takes a configuration that a peer says is in force. It holds until the log says more.
+     * Processes a configuration that a peer reports as in force. It is used until the log has been
+     * read past its version.
      *
-     * @param version its version
-     * @param document its document
-     * @return what came of it; empty when it is not taken
+     * @param version the offered version
+     * @param document the offered document
+     * @return the resulting events; empty when the offer is ignored
      */
-    // A reader that follows the log learns all there is from it within moments; a peer's word
-    // counts only where there is nothing better. A superseded offer has a lower version: not taken.
-    public List<ConfigurationEvent> offer(long version, String document) {
+    // A reader that follows the log gets every version from it promptly, so offers are used only
+    // while the log is not followed. A superseded offer has a lower version and is ignored.
+    public List<ConfigurationEvent> handleOffer(long version, String document) {
         Objects.requireNonNull(document, "document is null");
-        if (following || version <= inForce().map(InForce::version).orElse(-1L)) {
+        if (following || version <= inForce().map(ConfigurationInForce::version).orElse(-1L)) {
             return List.of();
         }
-        if (started && version < next) {
+        if (hasCompleteState && version < nextOffset) {
             return List.of(new InvariantBroken(Breach.OFFER_CONTRADICTED, version));
         }
-        Optional<ConfigurationReading.Accepted> reading = valid(document);
+        Optional<ConfigurationReading.Accepted> reading = readIfValid(document);
         if (reading.isEmpty()) {
             return List.of(new InvariantBroken(Breach.OFFER_CONTRADICTED, version));
         }
-        offered = Optional.of(new InForce(version, document, reading.get().configuration(), false));
+        offered =
+                Optional.of(
+                        new ConfigurationInForce(
+                                version, document, reading.get().configuration(), false));
         return List.of(new OfferTaken(version));
     }
 
     private void skipUnreadable() {
-        while (unreadable.remove(next)) {
-            next++;
+        while (unreadableOffsets.remove(nextOffset)) {
+            nextOffset++;
         }
-        unreadable.headSet(next).clear();
+        unreadableOffsets.headSet(nextOffset).clear();
     }
 
     private void awaitSnapshotFrom(long offset) {
-        started = false;
+        hasCompleteState = false;
         following = false;
-        waitingFrom = offset;
-        waiting.clear();
+        bufferedFrom = offset;
+        bufferedRecords.clear();
     }
 
-    private List<ConfigurationEvent> judge(LogRecord record) {
+    private List<ConfigurationEvent> evaluate(LogRecord record) {
         if (record.entry() instanceof Publication publication) {
-            return List.of(judge(record, publication));
+            return List.of(evaluate(record, publication));
         }
         if (record.entry() instanceof ConfigurationSnapshot snapshot) {
-            return List.of(check(record, snapshot));
+            return List.of(verifySnapshot(record, snapshot));
         }
         return List.of();
     }
 
-    private ConfigurationEvent judge(LogRecord record, Publication publication) {
-        if (!history.see(publication.publication())) {
+    private ConfigurationEvent evaluate(LogRecord record, Publication publication) {
+        if (!history.addPublication(publication.publication())) {
             return new Doubled(record, publication);
         }
         if (publication.basedOn() != confirmedVersion()) {
             return new Superseded(record, publication, confirmedVersion());
         }
-        Optional<Map<String, Object>> tree = parsed(publication.document());
+        Optional<Map<String, Object>> tree = parse(publication.document());
         if (tree.filter(ConfigurationReader::isOfLaterFormat).isPresent()) {
-            awaitSnapshotFrom(next);
+            awaitSnapshotFrom(nextOffset);
             return new LaterFormat(record);
         }
         ConfigurationReading reading =
-                tree.map(ConfigurationReader::read).orElseGet(ConfigurationRegister::notParsed);
+                tree.map(ConfigurationReader::read)
+                        .orElseGet(ConfigurationRegister::unparsableReading);
         if (reading instanceof ConfigurationReading.Accepted accepted) {
-            boolean taken =
+            boolean confirmed =
                     confirm(
-                            new InForce(
+                            new ConfigurationInForce(
                                     record.offset(),
                                     publication.document(),
                                     accepted.configuration(),
                                     true));
-            return taken
+            return confirmed
                     ? new Accepted(record, publication, accepted.warnings())
                     : new InvariantBroken(Breach.VERSION_NOT_HIGHER, record.offset());
         }
@@ -276,59 +288,60 @@
                 record, publication, ((ConfigurationReading.Rejected) reading).problems());
     }
 
-    private ConfigurationEvent check(LogRecord record, ConfigurationSnapshot snapshot) {
-        if (!history.knows(snapshot.upTo())) {
+    private ConfigurationEvent verifySnapshot(LogRecord record, ConfigurationSnapshot snapshot) {
+        if (!history.covers(snapshot.upTo())) {
             return new SnapshotUnused(record);
         }
-        boolean agrees =
+        boolean matchesHistory =
                 snapshot.upTo() <= record.offset()
                         && history.inForceBefore(snapshot.upTo())
                                 .filter(entry -> entry.getKey() == snapshot.version())
                                 .filter(entry -> entry.getValue().equals(snapshot.document()))
                                 .isPresent();
-        return agrees
+        return matchesHistory
                 ? new SnapshotAgrees(record, snapshot.upTo())
                 : new InvariantBroken(Breach.SNAPSHOT_DISAGREES, snapshot.version());
     }
 
     // Records between the snapshot's bound and the snapshot itself were appended while it was being
-    // written: they are kept until a start is found, and judged after it.
-    private List<ConfigurationEvent> seekStart(LogRecord record) {
+    // written: they are buffered until a usable snapshot is found, and evaluated after it.
+    private List<ConfigurationEvent> handleWhileAwaitingSnapshot(LogRecord record) {
         if (record.entry() instanceof ConfigurationSnapshot snapshot) {
-            return start(record, snapshot);
+            return startFromSnapshot(record, snapshot);
         }
         if (record.entry() instanceof Publication) {
-            waiting.addLast(record);
-            if (waiting.size() > MAXIMUM_WAITING) {
-                waitingFrom = waiting.removeFirst().offset() + 1;
+            bufferedRecords.addLast(record);
+            if (bufferedRecords.size() > MAXIMUM_BUFFERED_RECORDS) {
+                bufferedFrom = bufferedRecords.removeFirst().offset() + 1;
             }
         }
         return List.of();
     }
 
-    private List<ConfigurationEvent> start(LogRecord record, ConfigurationSnapshot snapshot) {
-        if (snapshot.upTo() < waitingFrom
+    private List<ConfigurationEvent> startFromSnapshot(
+            LogRecord record, ConfigurationSnapshot snapshot) {
+        if (snapshot.upTo() < bufferedFrom
                 || snapshot.upTo() > record.offset()
                 || snapshot.version() >= snapshot.upTo()
                 || snapshot.version() < 0) {
             return List.of(new SnapshotUnused(record));
         }
-        Optional<ConfigurationReading.Accepted> reading = valid(snapshot.document());
+        Optional<ConfigurationReading.Accepted> reading = readIfValid(snapshot.document());
         if (reading.isEmpty()) {
             return List.of(new SnapshotUnused(record));
         }
-        if (contradicts(snapshot)) {
+        if (contradictsKnownState(snapshot)) {
             return List.of(new InvariantBroken(Breach.SNAPSHOT_DISAGREES, snapshot.version()));
         }
-        List<LogRecord> later =
-                waiting.stream().filter(kept -> kept.offset() >= snapshot.upTo()).toList();
-        started = true;
-        waiting.clear();
+        List<LogRecord> laterRecords =
+                bufferedRecords.stream().filter(kept -> kept.offset() >= snapshot.upTo()).toList();
+        hasCompleteState = true;
+        bufferedRecords.clear();
         history.restart(snapshot.upTo(), snapshot.recentPublications());
-        history.accept(snapshot.version(), snapshot.document());
+        history.addAccepted(snapshot.version(), snapshot.document());
         if (snapshot.version() > confirmedVersion()) {
             confirm(
-                    new InForce(
+                    new ConfigurationInForce(
                             snapshot.version(),
                             snapshot.document(),
                             reading.get().configuration(),
@@ -336,27 +349,29 @@
         }
         List<ConfigurationEvent> events = new ArrayList<>();
         events.add(new SnapshotTaken(record, snapshot.version()));
-        later.forEach(kept -> events.addAll(judge(kept)));
+        laterRecords.forEach(kept -> events.addAll(evaluate(kept)));
         return events;
     }
 
-    // A reader that goes on from a snapshot below what it has had in force would go back in time;
-    // one with the same version and another document would differ from every other reader.
-    private boolean contradicts(ConfigurationSnapshot snapshot) {
+    // Continuing from a snapshot with a version below the confirmed one would put an older
+    // configuration back in force. One with the same version and another document, or with a
+    // version
+    // that no buffered publication has, would make this reader differ from every other.
+    private boolean contradictsKnownState(ConfigurationSnapshot snapshot) {
         boolean older = snapshot.version() < confirmedVersion();
         boolean differs =
                 confirmed
                         .filter(known -> known.version() == snapshot.version())
                         .filter(known -> !known.document().equals(snapshot.document()))
                         .isPresent();
-        boolean notPublished =
-                snapshot.version() >= waitingFrom
-                        && waiting.stream()
+        boolean documentNotPublished =
+                snapshot.version() >= bufferedFrom
+                        && bufferedRecords.stream()
                                 .noneMatch(
                                         kept ->
                                                 kept.offset() == snapshot.version()
                                                         && isDocumentOf(kept, snapshot));
-        return older || differs || notPublished;
+        return older || differs || documentNotPublished;
     }
 
     private static boolean isDocumentOf(LogRecord record, ConfigurationSnapshot snapshot) {
@@ -366,45 +381,45 @@
                 .isPresent();
     }
 
-    // A daemon that woke from a pause, or read an old copy of the log, would put an older
-    // configuration back in force and callers would lose what they had been promised. Versions are
-    // offsets and records come in order, so one comparison at the only place that sets it is
-    // enough.
-    private boolean confirm(InForce candidate) {
+    // Without this check, a daemon that resumes from a pause or reads an old copy of the log would
+    // put an older configuration back in force, and callers would lose what the newer one grants.
+    // Versions are offsets and records come in order, so one comparison at the only place that sets
+    // the confirmed configuration is enough.
+    private boolean confirm(ConfigurationInForce candidate) {
         if (candidate.version() <= confirmedVersion()) {
             return false;
         }
         confirmed = Optional.of(candidate);
-        history.accept(candidate.version(), candidate.document());
+        history.addAccepted(candidate.version(), candidate.document());
         return true;
     }
 
-    // The log is the authority: once it has been read past an offered version, the offer is either
-    // in the log or was never in force.
-    private List<ConfigurationEvent> checkOffer() {
-        if (offered.isEmpty() || !started || next <= offered.get().version()) {
+    // The log is authoritative: once it has been read past an offered version, that version is
+    // either in the log or was never in force.
+    private List<ConfigurationEvent> verifyOffer() {
+        if (offered.isEmpty() || !hasCompleteState || nextOffset <= offered.get().version()) {
             return List.of();
         }
-        InForce offer = offered.get();
+        ConfigurationInForce offer = offered.get();
         offered = Optional.empty();
-        boolean shown =
+        boolean consistentWithLog =
                 offer.version() < confirmedVersion()
-                        ? !history.knows(offer.version())
-                                || history.accepted(offer.version(), offer.document())
-                        : history.accepted(offer.version(), offer.document());
-        return shown
+                        ? !history.covers(offer.version())
+                                || history.isAccepted(offer.version(), offer.document())
+                        : history.isAccepted(offer.version(), offer.document());
+        return consistentWithLog
                 ? List.of()
                 : List.of(new InvariantBroken(Breach.OFFER_CONTRADICTED, offer.version()));
     }
 
-    private Optional<ConfigurationReading.Accepted> valid(String document) {
-        return parsed(document)
+    private Optional<ConfigurationReading.Accepted> readIfValid(String document) {
+        return parse(document)
                 .map(ConfigurationReader::read)
                 .filter(ConfigurationReading.Accepted.class::isInstance)
                 .map(ConfigurationReading.Accepted.class::cast);
     }
 
-    private Optional<Map<String, Object>> parsed(String document) {
+    private Optional<Map<String, Object>> parse(String document) {
         try {
             return Optional.of(parser.parse(document));
         } catch (TamaracktrackException failure) {
@@ -412,7 +427,7 @@
         }
     }
 
-    private static ConfigurationReading notParsed() {
+    private static ConfigurationReading unparsableReading() {
         return new ConfigurationReading.Rejected(
                 List.of(
                         new Problem(
--- a/core/src/main/java/org/tamaracktrack/core/config/ConfigurationWarnings.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ConfigurationWarnings.java
@@ -16,20 +16,20 @@
 import org.tamaracktrack.core.id.DataCentreId;
 import org.tamaracktrack.core.id.ServiceId;
 
-/** Finds what a valid configuration cannot keep. */
+/** Finds the requirements that a valid configuration states but cannot satisfy. */
 final class ConfigurationWarnings {
     private static final Comparator<Target> BY_CONCURRENCY =
             Comparator.comparingInt(Target::concurrency).thenComparing(Target::id);
 
     private final Configuration configuration;
-    private final long shares;
+    private final long totalShares;
     private final Optional<Target> largestEngine;
     private final Map<ServiceId, Target> largestOfService = new HashMap<>();
     private final List<Warning> warnings = new ArrayList<>();
 
     private ConfigurationWarnings(Configuration configuration) {
         this.configuration = configuration;
-        this.shares =
+        this.totalShares =
                 configuration.accounts().values().stream().mapToLong(ClientAccount::share).sum();
         this.largestEngine =
                 configuration.targets().values().stream()
@@ -51,39 +51,40 @@
     }
 
     static List<Warning> of(Configuration configuration) {
-        ConfigurationWarnings found = new ConfigurationWarnings(configuration);
-        found.checkResidency();
-        found.checkDataCentres();
+        ConfigurationWarnings checks = new ConfigurationWarnings(configuration);
+        checks.checkResidency();
+        checks.checkDataCentres();
         configuration.accounts().values().stream()
                 .sorted(Comparator.comparing(ClientAccount::id))
-                .forEach(found::checkAccount);
-        return List.copyOf(found.warnings);
+                .forEach(checks::checkAccount);
+        return List.copyOf(checks.warnings);
     }
 
     private void checkResidency() {
-        TrialPlacement placement = TrialPlacement.of(configuration);
+        GreedyPlacement placement = GreedyPlacement.of(configuration);
         List<Model> models = List.copyOf(configuration.models().values());
-        List<Model> left = placement.leftOver(models);
-        if (!left.isEmpty()) {
-            warn(
+        List<Model> unplaced = placement.placeOneCopyOfEach(models);
+        if (!unplaced.isEmpty()) {
+            addWarning(
                     "models",
                     WarningKind.NOT_ALL_RESIDENT,
-                    "not all models fit into memory at once; largest first, these are left and"
-                            + " reachable by load on demand only: "
-                            + names(left));
+                    "not all models fit into memory at once; placed largest first, these do not"
+                            + " fit and are reachable by load on demand only: "
+                            + names(unplaced));
             return;
         }
-        List<Model> single = placement.leftOver(models);
-        if (!single.isEmpty()) {
-            warn(
+        List<Model> withoutSecondCopy = placement.placeOneCopyOfEach(models);
+        if (!withoutSecondCopy.isEmpty()) {
+            addWarning(
                     "models",
                     WarningKind.ONE_COPY_ONLY,
-                    "no memory is left for a second copy, on another target, of: " + names(single));
+                    "no memory is left for a second copy, on another target, of: "
+                            + names(withoutSecondCopy));
         }
     }
 
     private void checkDataCentres() {
-        Map<DataCentreId, Long> largest = new HashMap<>();
+        Map<DataCentreId, Long> largestByDataCentre = new HashMap<>();
         configuration
                 .targets()
                 .values()
@@ -92,27 +93,31 @@
                                 target.accelerators()
                                         .forEach(
                                                 accelerator ->
-                                                        largest.merge(
+                                                        largestByDataCentre.merge(
                                                                 target.dataCentre(),
-                                                                CrossChecks.usable(accelerator),
+                                                                CrossChecks.usableMebibytes(
+                                                                        accelerator),
                                                                 Math::max)));
-        List<Model> single =
+        List<Model> inOneDataCentre =
                 configuration.models().values().stream()
-                        .filter(model -> fitting(largest, model) == 1)
+                        .filter(model -> countFittingDataCentres(largestByDataCentre, model) == 1)
                         .sorted(Comparator.comparing(Model::id))
                         .toList();
-        if (!single.isEmpty()) {
-            warn(
+        if (!inOneDataCentre.isEmpty()) {
+            addWarning(
                     "models",
                     WarningKind.ONE_DATA_CENTRE,
-                    "these fit accelerators of one data centre only, and are out of reach when it"
+                    "these fit accelerators of one data centre only and are unavailable when it"
                             + " is lost: "
-                            + names(single));
+                            + names(inOneDataCentre));
         }
     }
 
-    private static long fitting(Map<DataCentreId, Long> largest, Model model) {
-        return largest.values().stream().filter(size -> size >= model.memoryMebibytes()).count();
+    private static long countFittingDataCentres(
+            Map<DataCentreId, Long> largestByDataCentre, Model model) {
+        return largestByDataCentre.values().stream()
+                .filter(usableMebibytes -> usableMebibytes >= model.memoryMebibytes())
+                .count();
     }
 
     private void checkAccount(ClientAccount account) {
@@ -133,7 +138,7 @@
                         .mapToLong(id -> configuration.classes().get(id).queueLimit())
                         .sum();
         if (account.queueLimit() > classQueues) {
-            warn(
+            addWarning(
                     path + ".queueLimit",
                     WarningKind.QUEUE_ABOVE_CLASSES,
                     account.queueLimit()
@@ -143,20 +148,20 @@
     }
 
     private void checkCap(String path, ClientAccount account, Target target) {
-        long part = target.concurrency() * (long) account.share() / shares;
-        if (account.cap() < part) {
-            warn(
+        long requestsOfShare = target.concurrency() * (long) account.share() / totalShares;
+        if (account.cap() < requestsOfShare) {
+            addWarning(
                     path + ".cap",
                     WarningKind.CAP_BELOW_SHARE,
                     account.cap()
                             + " is below the "
-                            + part
+                            + requestsOfShare
                             + " requests that its share of "
                             + target.id()
                             + " comes to, so the share can't be met");
         }
         if (account.cap() > target.concurrency()) {
-            warn(
+            addWarning(
                     path + ".cap",
                     WarningKind.CAP_ABOVE_CONCURRENCY,
                     account.cap()
@@ -166,7 +171,7 @@
         }
     }
 
-    private void warn(String path, WarningKind kind, String message) {
+    private void addWarning(String path, WarningKind kind, String message) {
         warnings.add(new Warning(path, kind, message));
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/config/CrossChecks.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/CrossChecks.java
@@ -13,7 +13,7 @@
 import org.tamaracktrack.core.config.Configuration.Target;
 import org.tamaracktrack.core.id.ServiceId;
 
-/** Checks that concern several parts of a configuration together. */
+/** Validates conditions that involve several parts of a configuration. */
 final class CrossChecks {
     private final ProblemCollector problems;
 
@@ -36,7 +36,7 @@
         checkSizes(configuration);
     }
 
-    static long usable(Accelerator accelerator) {
+    static long usableMebibytes(Accelerator accelerator) {
         return accelerator.memoryMebibytes() - accelerator.cacheMebibytes();
     }
 
@@ -50,15 +50,16 @@
         }
     }
 
-    // Two processes that drive one engine would each believe its memory to be theirs alone.
+    // Two target daemons that share one engine would each account for all of its memory as their
+    // own.
     private void checkEndpoints(Configuration configuration) {
-        Map<String, Target> seen = new HashMap<>();
+        Map<String, Target> targetsByEndpoint = new HashMap<>();
         configuration.targets().values().stream()
                 .filter(target -> !target.endpoint().isEmpty())
-                .sorted((one, other) -> one.id().compareTo(other.id()))
+                .sorted((left, right) -> left.id().compareTo(right.id()))
                 .forEach(
                         target -> {
-                            Target first = seen.putIfAbsent(target.endpoint(), target);
+                            Target first = targetsByEndpoint.putIfAbsent(target.endpoint(), target);
                             if (first != null) {
                                 problems.add(
                                         ProblemKind.DUPLICATE,
@@ -69,20 +70,24 @@
                         });
     }
 
-    // A key that proves two accounts would let one caller read and spend as the other.
+    // A key that authenticates two accounts would let the callers of one act as the other.
     private void checkKeys(Configuration configuration) {
-        Map<String, ClientAccount> seen = new HashMap<>();
+        Map<String, ClientAccount> accountsByKeyHash = new HashMap<>();
         configuration.accounts().values().stream()
-                .sorted((one, other) -> one.id().compareTo(other.id()))
+                .sorted((left, right) -> left.id().compareTo(right.id()))
                 .forEach(
                         account ->
                                 account.keyHashes().stream()
                                         .distinct()
-                                        .forEach(hash -> checkKey(seen, account, hash)));
+                                        .forEach(
+                                                hash ->
+                                                        checkKey(
+                                                                accountsByKeyHash, account, hash)));
     }
 
-    private void checkKey(Map<String, ClientAccount> seen, ClientAccount account, String hash) {
-        ClientAccount first = seen.putIfAbsent(hash, account);
+    private void checkKey(
+            Map<String, ClientAccount> accountsByKeyHash, ClientAccount account, String hash) {
+        ClientAccount first = accountsByKeyHash.putIfAbsent(hash, account);
         if (first != null) {
             problems.add(
                     ProblemKind.DUPLICATE,
@@ -111,47 +116,53 @@
     }
 
     private void checkSizes(Configuration configuration) {
-        long largest =
+        long largestMebibytes =
                 configuration.targets().values().stream()
                         .flatMap(target -> target.accelerators().stream())
-                        .mapToLong(CrossChecks::usable)
+                        .mapToLong(CrossChecks::usableMebibytes)
                         .max()
                         .orElse(0);
         configuration.models().values().stream()
-                .filter(model -> model.memoryMebibytes() > largest)
+                .filter(model -> model.memoryMebibytes() > largestMebibytes)
                 .forEach(
                         model ->
-                                doesNotFit(
-                                        "models." + model.id(), model.memoryMebibytes(), largest));
+                                reportDoesNotFit(
+                                        "models." + model.id(),
+                                        model.memoryMebibytes(),
+                                        largestMebibytes));
         configuration.adapters().values().stream()
-                .flatMap(adapter -> withBase(configuration, adapter, largest))
+                .flatMap(
+                        adapter ->
+                                adapterIfTooLargeWithBase(configuration, adapter, largestMebibytes))
                 .forEach(
                         adapter ->
-                                doesNotFit(
+                                reportDoesNotFit(
                                         "adapters." + adapter.id(),
                                         adapter.memoryMebibytes(),
-                                        largest
+                                        largestMebibytes
                                                 - configuration
                                                         .models()
                                                         .get(adapter.base())
                                                         .memoryMebibytes()));
     }
 
-    private static Stream<Adapter> withBase(
-            Configuration configuration, Adapter adapter, long largest) {
+    private static Stream<Adapter> adapterIfTooLargeWithBase(
+            Configuration configuration, Adapter adapter, long largestMebibytes) {
         Model base = configuration.models().get(adapter.base());
         return base != null
-                        && base.memoryMebibytes() <= largest
-                        && base.memoryMebibytes() + adapter.memoryMebibytes() > largest
+                        && base.memoryMebibytes() <= largestMebibytes
+                        && base.memoryMebibytes() + adapter.memoryMebibytes() > largestMebibytes
                 ? Stream.of(adapter)
                 : Stream.empty();
     }
 
-    private void doesNotFit(String path, long found, long largest) {
+    private void reportDoesNotFit(String path, long neededMebibytes, long allowedMebibytes) {
         problems.add(
                 ProblemKind.DOES_NOT_FIT,
                 path + ".memoryMebibytes",
-                Long.toString(found),
-                "at most " + largest + ", what the largest accelerator has besides its cache");
+                Long.toString(neededMebibytes),
+                "at most "
+                        + allowedMebibytes
+                        + ", what the largest accelerator has besides its cache");
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/DocumentDifference.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/DocumentDifference.java
@@ -15,11 +15,11 @@
     private DocumentDifference() {}
 
     /**
-     * One value that differs.
+     * A value that differs between the two documents.
      *
-     * @param path where
-     * @param before the value in the first document, if it is there
-     * @param after the value in the second document, if it is there
+     * @param path the place in the documents
+     * @param before the value in the first document; empty if absent
+     * @param after the value in the second document; empty if absent
      */
     public record Change(String path, Optional<Object> before, Optional<Object> after) {
 
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Compares.
+     * Returns the differences between two documents.
      *
      * @param before the first document
      * @param after the second document
-     * @return what differs, in the order of the paths
+     * @return the values that differ, in the order of their paths
      */
     public static List<Change> between(Map<String, Object> before, Map<String, Object> after) {
         Objects.requireNonNull(before, "before is null");
--- a/core/src/main/java/org/tamaracktrack/core/config/DocumentLimits.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/DocumentLimits.java
@@ -5,44 +5,45 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checks the size of a document tree before anything walks it recursively. */
+/** Checks the depth and size of a document tree before it is traversed recursively. */
 final class DocumentLimits {
     static final int MAXIMUM_DEPTH = 32;
     static final int MAXIMUM_VALUES = 200_000;
 
     private DocumentLimits() {}
 
-    private record Place(Object value, String path, int depth) {}
+    private record Node(Object value, String path, int depth) {}
 
-    // A document nested a million deep would overflow the stack of whoever walks it, and the daemon
-    // with it. This walk keeps its own stack and stops at a bound, so later walks may recurse.
-    static boolean holds(Object tree, ProblemCollector problems) {
-        Deque<Place> open = new ArrayDeque<>();
-        open.push(new Place(tree, "", 0));
-        int seen = 0;
+    // Recursing into a document nested a million levels deep would overflow the stack and end the
+    // daemon. This traversal uses an explicit stack and stops at a limit, so later ones may
+    // recurse.
+    static boolean check(Object tree, ProblemCollector problems) {
+        Deque<Node> pending = new ArrayDeque<>();
+        pending.push(new Node(tree, "", 0));
+        int visitedValues = 0;
         boolean fits = true;
-        while (!open.isEmpty()) {
-            Place place = open.pop();
-            seen++;
-            if (seen > MAXIMUM_VALUES) {
-                tooManyValues(problems);
+        while (!pending.isEmpty()) {
+            Node node = pending.pop();
+            visitedValues++;
+            if (visitedValues > MAXIMUM_VALUES) {
+                reportTooManyValues(problems);
                 return false;
             }
-            if (place.depth() > MAXIMUM_DEPTH) {
+            if (node.depth() > MAXIMUM_DEPTH) {
                 problems.add(
                         ProblemKind.TOO_LARGE,
-                        place.path(),
+                        node.path(),
                         "a value nested deeper than " + MAXIMUM_DEPTH,
                         "at most " + MAXIMUM_DEPTH + " levels");
                 fits = false;
             } else {
-                pushChildren(open, place);
+                pushChildren(pending, node);
             }
         }
         return fits;
     }
 
-    static void tooManyValues(ProblemCollector problems) {
+    static void reportTooManyValues(ProblemCollector problems) {
         problems.add(
                 ProblemKind.TOO_LARGE,
                 "",
@@ -50,16 +51,20 @@
                 "at most " + MAXIMUM_VALUES + " values, templates expanded");
     }
 
-    private static void pushChildren(Deque<Place> open, Place place) {
-        int depth = place.depth() + 1;
-        if (place.value() instanceof Map<?, ?> map) {
+    private static void pushChildren(Deque<Node> pending, Node parent) {
+        int depth = parent.depth() + 1;
+        if (parent.value() instanceof Map<?, ?> map) {
             map.forEach(
                     (key, value) ->
-                            open.push(new Place(value, Values.child(place.path(), key), depth)));
-        } else if (place.value() instanceof List<?> list) {
+                            pending.push(
+                                    new Node(
+                                            value,
+                                            DocumentValues.childPath(parent.path(), key),
+                                            depth)));
+        } else if (parent.value() instanceof List<?> list) {
             for (int index = 0; index < list.size(); index++) {
-                String path = Values.element(place.path(), index);
-                open.push(new Place(list.get(index), path, depth));
+                String path = DocumentValues.elementPath(parent.path(), index);
+                pending.push(new Node(list.get(index), path, depth));
             }
         }
     }
--- a/core/src/main/java/org/tamaracktrack/core/config/DocumentParser.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/DocumentParser.java
@@ -2,16 +2,16 @@
 
 import java.util.Map;
 
-/** Turns the text of a document into a tree. */
+/** Parses the text of a document into a tree of maps, lists and values. */
 @FunctionalInterface
 public interface DocumentParser {
 
     /**
      * Parses a document.
      *
-     * @param document the text, JSON
+     * @param document the document as JSON text
      * @return the tree
-     * @throws org.tamaracktrack.core.error.TamaracktrackException when the text is no such document
+     * @throws org.tamaracktrack.core.error.TamaracktrackException when the text is not a JSON map
      */
     Map<String, Object> parse(String document);
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/Values.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/DocumentValues.java
@@ -6,32 +6,32 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Names values of a document tree in words that an operator can read. */
-final class Values {
+/** Describes values and paths of a document tree in problem messages for operators. */
+final class DocumentValues {
     /**
-     * Stands where a parameter without a value was used. The problem is reported once, there;
-     * whoever reads the value passes over it in silence.
+     * Placeholder for a reference to a parameter without a value. The problem is reported where the
+     * reference is substituted, so code that reads the placeholder reports nothing more.
      */
     static final Object UNRESOLVED = new Object();
 
-    private static final int SHOWN_CHARACTERS = 60;
-    private static final int SHOWN_BITS = 256;
-    private static final int SHOWN_NAMES = 20;
+    private static final int MAXIMUM_SHOWN_CHARACTERS = 60;
+    private static final int MAXIMUM_SHOWN_BITS = 256;
+    private static final int MAXIMUM_SHOWN_NAMES = 20;
 
-    private Values() {}
+    private DocumentValues() {}
 
     static String describe(Object value) {
         if (value == null) {
             return "nothing";
         }
         if (value instanceof String text) {
-            return "text \"" + shortened(text) + "\"";
+            return "text \"" + abbreviate(text) + "\"";
         }
-        if (value instanceof BigInteger number && number.bitLength() > SHOWN_BITS) {
+        if (value instanceof BigInteger number && number.bitLength() > MAXIMUM_SHOWN_BITS) {
             return "a number of " + number.bitLength() + " bits";
         }
         if (value instanceof Number) {
-            return "number " + shortened(value.toString());
+            return "number " + abbreviate(value.toString());
         }
         if (value instanceof Boolean) {
             return value.toString();
@@ -51,25 +51,25 @@
         }
         String shown =
                 allowed.stream()
-                        .limit(SHOWN_NAMES)
-                        .map(name -> shortened(name.toString()))
+                        .limit(MAXIMUM_SHOWN_NAMES)
+                        .map(name -> abbreviate(name.toString()))
                         .collect(Collectors.joining(", "));
-        int more = allowed.size() - SHOWN_NAMES;
-        return "one of " + shown + (more > 0 ? " and " + more + " more" : "");
+        int omitted = allowed.size() - MAXIMUM_SHOWN_NAMES;
+        return "one of " + shown + (omitted > 0 ? " and " + omitted + " more" : "");
     }
 
-    static String child(String path, Object key) {
-        String name = shortened(String.valueOf(key));
+    static String childPath(String path, Object key) {
+        String name = abbreviate(String.valueOf(key));
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    static String element(String path, int index) {
+    static String elementPath(String path, int index) {
         return path + "[" + index + "]";
     }
 
-    private static String shortened(String text) {
-        return text.length() <= SHOWN_CHARACTERS
+    private static String abbreviate(String text) {
+        return text.length() <= MAXIMUM_SHOWN_CHARACTERS
                 ? text
-                : text.substring(0, SHOWN_CHARACTERS) + "...";
+                : text.substring(0, MAXIMUM_SHOWN_CHARACTERS) + "...";
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/ParameterSubstitution.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ParameterSubstitution.java
@@ -8,9 +8,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Replaces {@code ${name}} in a document tree. A value that is nothing but {@code ${name}} becomes
- * the parameter's value, whatever its type; inside a longer text it becomes the value's text; in a
- * list, a parameter that is a list adds its elements. {@code $${name}} stands for the text itself.
+ * Replaces {@code ${name}} in a document tree. A value that consists of {@code ${name}} alone
+ * becomes the parameter's value, of any type; inside a longer string the reference is replaced by
+ * the value's text; in a list, a parameter that is a list is replaced by its elements. {@code
+ * $${name}} is an escape for the literal text {@code ${name}}.
  */
 final class ParameterSubstitution {
     private static final Pattern REFERENCE =
@@ -18,39 +19,40 @@
 
     private final Map<String, Object> parameters;
     private final ProblemCollector problems;
-    private final Budget budget;
+    private final ValueBudget budget;
 
-    /** How many more values the expanded document may have. */
-    static final class Budget {
-        private int left = DocumentLimits.MAXIMUM_VALUES;
+    /** Limits the number of values that the expanded document may have. */
+    static final class ValueBudget {
+        private int remainingValues = DocumentLimits.MAXIMUM_VALUES;
 
         private boolean spend() {
-            left--;
-            return left >= 0;
+            remainingValues--;
+            return remainingValues >= 0;
         }
 
         boolean isSpent() {
-            return left < 0;
+            return remainingValues < 0;
         }
     }
 
     private ParameterSubstitution(
-            Map<String, Object> parameters, ProblemCollector problems, Budget budget) {
+            Map<String, Object> parameters, ProblemCollector problems, ValueBudget budget) {
         this.parameters = parameters;
         this.problems = problems;
         this.budget = budget;
     }
 
     static ParameterSubstitution of(
-            Map<String, Object> parameters, ProblemCollector problems, Budget budget) {
+            Map<String, Object> parameters, ProblemCollector problems, ValueBudget budget) {
         return new ParameterSubstitution(parameters, problems, budget);
     }
 
-    // Values put in are not searched again, so a parameter can't refer to itself and expansion
-    // ends. A large list used many times over could still fill the memory: the budget bounds it.
+    // Substituted values are not scanned for references, so a parameter can't refer to itself and
+    // expansion terminates. A large list that is referenced many times could still exhaust memory:
+    // the budget bounds it.
     Object apply(String path, Object value) {
         if (!budget.spend()) {
-            return Values.UNRESOLVED;
+            return DocumentValues.UNRESOLVED;
         }
         if (value instanceof String text) {
             return text(path, text);
@@ -62,7 +64,9 @@
             Map<String, Object> result = new LinkedHashMap<>();
             map.forEach(
                     (key, child) ->
-                            result.put(String.valueOf(key), apply(Values.child(path, key), child)));
+                            result.put(
+                                    String.valueOf(key),
+                                    apply(DocumentValues.childPath(path, key), child)));
             return result;
         }
         return value;
@@ -72,7 +76,7 @@
         List<Object> result = new ArrayList<>();
         for (int index = 0; index < list.size() && !budget.isSpent(); index++) {
             Object element = list.get(index);
-            Object replaced = apply(Values.element(path, index), element);
+            Object replaced = apply(DocumentValues.elementPath(path, index), element);
             if (element instanceof String && replaced instanceof List<?> inner) {
                 inner.stream().filter(ignored -> budget.spend()).forEach(result::add);
             } else {
@@ -83,23 +87,24 @@
     }
 
     private Object text(String path, String text) {
-        Matcher whole = REFERENCE.matcher(text);
-        if (whole.matches() && whole.group(1).isEmpty()) {
-            return lookUp(path, whole.group(2));
+        Matcher wholeText = REFERENCE.matcher(text);
+        if (wholeText.matches() && wholeText.group(1).isEmpty()) {
+            return lookUp(path, wholeText.group(2));
         }
-        Matcher parts = REFERENCE.matcher(text);
+        Matcher references = REFERENCE.matcher(text);
         StringBuilder result = new StringBuilder();
         boolean resolved = true;
-        while (parts.find()) {
-            Object part = part(path, parts);
-            resolved &= part != Values.UNRESOLVED;
-            parts.appendReplacement(result, Matcher.quoteReplacement(String.valueOf(part)));
+        while (references.find()) {
+            Object replacement = replacement(path, references);
+            resolved &= replacement != DocumentValues.UNRESOLVED;
+            references.appendReplacement(
+                    result, Matcher.quoteReplacement(String.valueOf(replacement)));
         }
-        parts.appendTail(result);
-        return resolved ? result.toString() : Values.UNRESOLVED;
+        references.appendTail(result);
+        return resolved ? result.toString() : DocumentValues.UNRESOLVED;
     }
 
-    private Object part(String path, Matcher reference) {
+    private Object replacement(String path, Matcher reference) {
         if (!reference.group(1).isEmpty()) {
             return reference.group().substring(1);
         }
@@ -108,9 +113,12 @@
             problems.add(
                     ProblemKind.WRONG_TYPE,
                     path,
-                    Values.describe(value) + " for ${" + reference.group(2) + "} inside a text",
+                    DocumentValues.describe(value)
+                            + " for ${"
+                            + reference.group(2)
+                            + "} inside a text",
                     "text, a number or true/false");
-            return Values.UNRESOLVED;
+            return DocumentValues.UNRESOLVED;
         }
         return value;
     }
@@ -121,8 +129,8 @@
                     ProblemKind.UNSET_PARAMETER,
                     path,
                     "${" + name + "}, which has no value",
-                    Values.oneOf(parameters.keySet()));
-            return Values.UNRESOLVED;
+                    DocumentValues.oneOf(parameters.keySet()));
+            return DocumentValues.UNRESOLVED;
         }
         return parameters.get(name);
     }
--- a/core/src/main/java/org/tamaracktrack/core/config/Problem.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/Problem.java
@@ -5,10 +5,10 @@
 /**
  * One reason why a configuration document is not accepted.
  *
- * @param path where, such as {@code models.order-reader.memoryMebibytes}
- * @param found what is there
- * @param allowed what may be there
- * @param kind what is wrong with it
+ * @param path the place in the document, such as {@code models.order-reader.memoryMebibytes}
+ * @param found a description of the value found
+ * @param allowed a description of the values allowed
+ * @param kind the kind of problem
  */
 public record Problem(String path, String found, String allowed, ProblemKind kind) {
 
--- a/core/src/main/java/org/tamaracktrack/core/config/ProblemCollector.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ProblemCollector.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Gathers the problems of one document, so that an operator sees all of them at once. */
+/** Collects the problems of one document, so that an operator sees all of them at once. */
 final class ProblemCollector {
     private final Set<Problem> problems = new LinkedHashSet<>();
 
--- a/core/src/main/java/org/tamaracktrack/core/config/ProblemKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ProblemKind.java
@@ -1,27 +1,27 @@
 package org.tamaracktrack.core.config;
 
-/** What is wrong at one place of a configuration document. */
+/** The kinds of problem that a configuration document can have. */
 public enum ProblemKind {
-    /** A value that has to be there is not. */
+    /** A required value is missing. */
     MISSING,
-    /** The value is of another type, such as text for a number. */
+    /** The value has the wrong type, such as text instead of a number. */
     WRONG_TYPE,
-    /** The value is of the right type and outside its limits. */
+    /** The value has the right type but is outside its limits. */
     OUT_OF_RANGE,
-    /** The document has a key that no process would read. */
+    /** The document has a key that is not part of the format. */
     UNKNOWN_KEY,
     /** The value names something that the document does not define. */
     UNKNOWN_NAME,
-    /** The value is not an identifier, address or hash of the form that is asked for. */
+    /** The value is not an identifier, address or hash of the required form. */
     BAD_FORM,
-    /** Two entries that have to differ are equal. */
+    /** Two entries that must differ are equal. */
     DUPLICATE,
-    /** A parameter is used and has no value. */
+    /** A parameter is referenced but has no value. */
     UNSET_PARAMETER,
-    /** A model, alone or with an adapter, is larger than any accelerator. */
+    /** A model, alone or with an adapter, needs more memory than any accelerator has. */
     DOES_NOT_FIT,
-    /** The document, as written or with its templates expanded, is over the limits of size. */
+    /** The document, as written or with its templates expanded, exceeds the size limits. */
     TOO_LARGE,
-    /** The document is in a format that this release does not know. */
+    /** The document has a format that this release does not support. */
     UNSUPPORTED_FORMAT
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/Section.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/Section.java
@@ -15,9 +15,9 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 
 /**
- * A map of a document with typed access to its values. What is missing or wrong is reported, and a
- * stand-in value returned so that reading goes on; nothing is accepted once there is a problem, so
- * the stand-in values are never used.
+ * A map of a document with typed access to its values. A missing or wrong value is reported as a
+ * problem and a placeholder is returned, so that reading continues and finds further problems. A
+ * document with a problem is rejected, so the placeholders are never used.
  */
 final class Section {
     private static final String IDENTIFIER = "1 to 128 characters of letters, digits and . _ : / -";
@@ -25,7 +25,7 @@
     private final String path;
     private final Map<String, Object> values;
     private final ProblemCollector problems;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> knownKeys = new TreeSet<>();
 
     private Section(String path, Map<String, Object> values, ProblemCollector problems) {
         this.path = path;
@@ -39,10 +39,10 @@
             map.forEach((key, child) -> values.put(String.valueOf(key), child));
             return new Section(path, values, problems);
         }
-        if (value != Values.UNRESOLVED) {
-            problems.add(ProblemKind.WRONG_TYPE, path, Values.describe(value), "a map");
+        if (value != DocumentValues.UNRESOLVED) {
+            problems.add(ProblemKind.WRONG_TYPE, path, DocumentValues.describe(value), "a map");
         }
-        // Everything below a value that is no map would be reported missing: one problem is enough.
+        // The problems of everything below are discarded: all of it would be reported as missing.
         return new Section(path, Map.of(), new ProblemCollector());
     }
 
@@ -51,123 +51,125 @@
     }
 
     String path(String key) {
-        return Values.child(path, key);
+        return DocumentValues.childPath(path, key);
     }
 
     boolean has(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return values.containsKey(key);
     }
 
     Object raw(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return values.get(key);
     }
 
     long integer(String key, long minimum, long maximum) {
-        Optional<Object> value = present(key);
+        Optional<Object> value = requiredValue(key);
         if (value.isEmpty()) {
             return minimum;
         }
         String allowed = "a whole number from " + minimum + " to " + maximum;
         if (!(value.get() instanceof Number number) || !isWhole(number)) {
-            wrongType(key, value.get(), allowed);
+            reportWrongType(key, value.get(), allowed);
             return minimum;
         }
         BigInteger whole =
                 number instanceof BigInteger large ? large : BigInteger.valueOf(number.longValue());
         if (whole.compareTo(BigInteger.valueOf(minimum)) < 0
                 || whole.compareTo(BigInteger.valueOf(maximum)) > 0) {
-            problem(ProblemKind.OUT_OF_RANGE, key, Values.describe(number), allowed);
+            addProblem(ProblemKind.OUT_OF_RANGE, key, DocumentValues.describe(number), allowed);
             return minimum;
         }
         return whole.longValue();
     }
 
-    long integer(String key, long minimum, long maximum, long absent) {
-        return has(key) ? integer(key, minimum, maximum) : absent;
+    long integer(String key, long minimum, long maximum, long defaultValue) {
+        return has(key) ? integer(key, minimum, maximum) : defaultValue;
     }
 
     double decimal(String key, double minimum, double maximum) {
-        Optional<Object> value = present(key);
+        Optional<Object> value = requiredValue(key);
         if (value.isEmpty()) {
             return minimum;
         }
         String allowed = "a number from " + minimum + " to " + maximum;
         if (!(value.get() instanceof Number number)) {
-            wrongType(key, value.get(), allowed);
+            reportWrongType(key, value.get(), allowed);
             return minimum;
         }
         double result = number.doubleValue();
         if (!(result >= minimum && result <= maximum)) {
-            problem(ProblemKind.OUT_OF_RANGE, key, Values.describe(number), allowed);
+            addProblem(ProblemKind.OUT_OF_RANGE, key, DocumentValues.describe(number), allowed);
             return minimum;
         }
         return result;
     }
 
     boolean flag(String key) {
-        Optional<Object> value = present(key);
+        Optional<Object> value = requiredValue(key);
         if (value.isPresent() && !(value.get() instanceof Boolean)) {
-            wrongType(key, value.get(), "true or false");
+            reportWrongType(key, value.get(), "true or false");
         }
         return value.filter(Boolean.TRUE::equals).isPresent();
     }
 
-    boolean flag(String key, boolean absent) {
-        return has(key) ? flag(key) : absent;
+    boolean flag(String key, boolean defaultValue) {
+        return has(key) ? flag(key) : defaultValue;
     }
 
-    String text(String key, Pattern form, String allowed) {
-        return present(key).flatMap(value -> text(path(key), value, form, allowed)).orElse("");
+    String text(String key, Pattern pattern, String allowed) {
+        return requiredValue(key)
+                .flatMap(value -> text(path(key), value, pattern, allowed))
+                .orElse("");
     }
 
-    List<String> texts(String key, Pattern form, String allowed) {
+    List<String> texts(String key, Pattern pattern, String allowed) {
         List<Object> elements = list(key);
         return IntStream.range(0, elements.size())
                 .mapToObj(
                         index ->
                                 text(
-                                        Values.element(path(key), index),
+                                        DocumentValues.elementPath(path(key), index),
                                         elements.get(index),
-                                        form,
+                                        pattern,
                                         allowed))
                 .flatMap(Optional::stream)
                 .toList();
     }
 
-    <T> Optional<T> identifier(String key, Function<String, T> type) {
-        return present(key).flatMap(value -> identifier(path(key), value, type));
+    <T> Optional<T> identifier(String key, Function<String, T> factory) {
+        return requiredValue(key).flatMap(value -> identifier(path(key), value, factory));
     }
 
-    <T> Optional<T> reference(String key, Function<String, T> type, Set<T> defined) {
-        return identifier(key, type).filter(id -> isDefined(path(key), id, defined));
+    <T> Optional<T> reference(String key, Function<String, T> factory, Set<T> defined) {
+        return identifier(key, factory).filter(id -> isDefined(path(key), id, defined));
     }
 
-    <T> Set<T> references(String key, Function<String, T> type, Set<T> defined) {
+    <T> Set<T> references(String key, Function<String, T> factory, Set<T> defined) {
         List<Object> elements = list(key);
         Set<T> result = new LinkedHashSet<>();
         for (int index = 0; index < elements.size(); index++) {
-            String place = Values.element(path(key), index);
-            identifier(place, elements.get(index), type)
-                    .filter(id -> isDefined(place, id, defined))
+            String elementPath = DocumentValues.elementPath(path(key), index);
+            identifier(elementPath, elements.get(index), factory)
+                    .filter(id -> isDefined(elementPath, id, defined))
                     .filter(id -> !result.add(id))
-                    .ifPresent(id -> duplicate(place, id));
+                    .ifPresent(id -> reportDuplicate(elementPath, id));
         }
         return result;
     }
 
     /**
-     * Reads a map whose keys are identifiers.
+     * Reads a map whose keys are identifiers. Entries with other keys are reported and left out.
      *
      * @param key the map's key
-     * @param type makes an identifier
-     * @param read reads one entry
+     * @param factory creates an identifier from text
+     * @param reader reads one entry
      * @param <K> the identifier's type
      * @param <V> the entry's type
      * @return the entries whose keys are identifiers
      */
-    <K, V> Map<K, V> entries(String key, Function<String, K> type, EntryReader<K, V> read) {
+    <K, V> Map<K, V> entries(String key, Function<String, K> factory, EntryReader<K, V> reader) {
         Map<K, V> result = new LinkedHashMap<>();
         if (!has(key)) {
             return result;
@@ -175,11 +177,11 @@
         Section map = child(key);
         map.values.forEach(
                 (name, value) ->
-                        identifier(map.path(name), name, type)
+                        identifier(map.path(name), name, factory)
                                 .ifPresent(
                                         id -> {
                                             Section entry = of(map.path(name), value, problems);
-                                            result.put(id, read.read(id, entry));
+                                            result.put(id, reader.read(id, entry));
                                         }));
         return result;
     }
@@ -191,109 +193,112 @@
     }
 
     Section child(String key) {
-        return present(key)
+        return requiredValue(key)
                 .map(value -> of(path(key), value, problems))
                 .orElseGet(() -> new Section(path(key), Map.of(), new ProblemCollector()));
     }
 
     Map<String, Object> children() {
-        known.addAll(values.keySet());
+        knownKeys.addAll(values.keySet());
         return values;
     }
 
-    void problem(ProblemKind kind, String key, String found, String allowed) {
+    void addProblem(ProblemKind kind, String key, String found, String allowed) {
         problems.add(kind, path(key), found, allowed);
     }
 
-    // A misspelt key would be ignored, and its default hold, without anyone noticing.
-    void finish() {
+    // Without this check, a misspelt key would be ignored and its default would apply unnoticed.
+    void reportUnknownKeys() {
         values.keySet().stream()
-                .filter(key -> !known.contains(key))
+                .filter(key -> !knownKeys.contains(key))
                 .forEach(
                         key ->
-                                problem(
+                                addProblem(
                                         ProblemKind.UNKNOWN_KEY,
                                         key,
                                         "a key that is not known here",
-                                        Values.oneOf(known)));
+                                        DocumentValues.oneOf(knownKeys)));
     }
 
-    private Optional<Object> present(String key) {
-        known.add(key);
+    private Optional<Object> requiredValue(String key) {
+        knownKeys.add(key);
         Object value = values.get(key);
         if (value == null) {
-            problem(ProblemKind.MISSING, key, "nothing", "a value");
+            addProblem(ProblemKind.MISSING, key, "nothing", "a value");
         }
-        return Optional.ofNullable(value).filter(found -> found != Values.UNRESOLVED);
+        return Optional.ofNullable(value).filter(found -> found != DocumentValues.UNRESOLVED);
     }
 
     private List<Object> list(String key) {
-        Optional<Object> value = present(key);
+        Optional<Object> value = requiredValue(key);
         if (value.isPresent() && !(value.get() instanceof List<?>)) {
-            wrongType(key, value.get(), "a list");
+            reportWrongType(key, value.get(), "a list");
         }
         return value.filter(List.class::isInstance)
                 .map(found -> new ArrayList<Object>((List<?>) found))
                 .orElseGet(ArrayList::new);
     }
 
-    private Optional<String> text(String place, Object value, Pattern form, String allowed) {
-        if (value == Values.UNRESOLVED) {
+    private Optional<String> text(String valuePath, Object value, Pattern pattern, String allowed) {
+        if (value == DocumentValues.UNRESOLVED) {
             return Optional.empty();
         }
         if (!(value instanceof String text)) {
             problems.add(
                     ProblemKind.WRONG_TYPE,
-                    place,
-                    Values.describe(value),
+                    valuePath,
+                    DocumentValues.describe(value),
                     "text: " + allowed + (value instanceof Number ? "; put it in quotes" : ""));
             return Optional.empty();
         }
-        if (!form.matcher(text).matches()) {
-            problems.add(ProblemKind.BAD_FORM, place, Values.describe(text), allowed);
+        if (!pattern.matcher(text).matches()) {
+            problems.add(ProblemKind.BAD_FORM, valuePath, DocumentValues.describe(text), allowed);
             return Optional.empty();
         }
         return Optional.of(text);
     }
 
-    private <T> Optional<T> identifier(String place, Object value, Function<String, T> type) {
-        if (value == Values.UNRESOLVED) {
+    private <T> Optional<T> identifier(
+            String valuePath, Object value, Function<String, T> factory) {
+        if (value == DocumentValues.UNRESOLVED) {
             return Optional.empty();
         }
         if (!(value instanceof String text)) {
-            problems.add(ProblemKind.WRONG_TYPE, place, Values.describe(value), IDENTIFIER);
+            problems.add(
+                    ProblemKind.WRONG_TYPE, valuePath, DocumentValues.describe(value), IDENTIFIER);
             return Optional.empty();
         }
         try {
-            return Optional.of(type.apply(text));
+            return Optional.of(factory.apply(text));
         } catch (TamaracktrackException failure) {
-            problems.add(ProblemKind.BAD_FORM, place, Values.describe(text), IDENTIFIER);
+            problems.add(
+                    ProblemKind.BAD_FORM, valuePath, DocumentValues.describe(text), IDENTIFIER);
             return Optional.empty();
         }
     }
 
-    private <T> boolean isDefined(String place, T id, Set<T> defined) {
+    private <T> boolean isDefined(String valuePath, T id, Set<T> defined) {
         if (!defined.contains(id)) {
             problems.add(
                     ProblemKind.UNKNOWN_NAME,
-                    place,
-                    Values.describe(id.toString()),
-                    Values.oneOf(defined));
+                    valuePath,
+                    DocumentValues.describe(id.toString()),
+                    DocumentValues.oneOf(defined));
             return false;
         }
         return true;
     }
 
-    private void duplicate(String place, Object id) {
+    private void reportDuplicate(String valuePath, Object id) {
         problems.add(
                 ProblemKind.DUPLICATE,
-                place,
-                Values.describe(id.toString()) + ", a second time",
+                valuePath,
+                DocumentValues.describe(id.toString()) + ", a second time",
                 "each name once");
     }
 
-    private void wrongType(String key, Object value, String allowed) {
-        problem(ProblemKind.WRONG_TYPE, key, Values.describe(value), allowed);
+    private void reportWrongType(String key, Object value, String allowed) {
+        addProblem(ProblemKind.WRONG_TYPE, key, DocumentValues.describe(value), allowed);
     }
 
     private static boolean isWhole(Number number) {
--- a/core/src/main/java/org/tamaracktrack/core/config/TargetReader.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/TargetReader.java
@@ -53,7 +53,7 @@
                         isService
                                 ? section.reference("service", ServiceId::of, services.keySet())
                                 : Optional.empty());
-        section.finish();
+        section.reportUnknownKeys();
         return result;
     }
 
@@ -63,7 +63,7 @@
         if (matcher.matches()) {
             int port = Integer.parseInt(matcher.group(1));
             if (port < 1 || port > HIGHEST_PORT) {
-                section.problem(
+                section.addProblem(
                         ProblemKind.OUT_OF_RANGE,
                         "endpoint",
                         "port " + port,
@@ -83,7 +83,8 @@
                                 .values());
         if (!section.has("accelerators")
                 || section.raw("accelerators") instanceof Map<?, ?> map && map.isEmpty()) {
-            section.problem(ProblemKind.MISSING, "accelerators", "none", "one accelerator or more");
+            section.addProblem(
+                    ProblemKind.MISSING, "accelerators", "none", "one accelerator or more");
         }
         return accelerators;
     }
@@ -92,13 +93,13 @@
         long memory = section.integer("memoryMebibytes", 1, ConfigurationReader.MAXIMUM_MEBIBYTES);
         long cache = section.integer("cacheMebibytes", 0, ConfigurationReader.MAXIMUM_MEBIBYTES, 0);
         if (cache > 0 && cache >= memory && section.raw("memoryMebibytes") instanceof Number) {
-            section.problem(
+            section.addProblem(
                     ProblemKind.OUT_OF_RANGE,
                     "cacheMebibytes",
                     Long.toString(cache),
                     "less than the accelerator's memory, " + memory);
         }
-        section.finish();
+        section.reportUnknownKeys();
         return new Accelerator(id, memory, cache);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/TemplateExpansion.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/TemplateExpansion.java
@@ -11,7 +11,7 @@
 import org.tamaracktrack.core.id.ClientAccountId;
 import org.tamaracktrack.core.id.TemplateId;
 
-/** Puts parameters into a document and makes client accounts from templates. */
+/** Substitutes parameters in a document and creates client accounts from templates. */
 final class TemplateExpansion {
     private static final String PARAMETERS = "parameters";
     private static final String TEMPLATES = "templates";
@@ -20,12 +20,12 @@
     private static final String PARAMETER_FORM = "a letter, then up to 63 letters, digits, _ and -";
 
     private final ProblemCollector problems;
-    private final ParameterSubstitution.Budget budget;
+    private final ParameterSubstitution.ValueBudget budget;
     private final Map<String, Object> documentParameters;
     private final Map<String, Object> document;
     private final Section root;
 
-    /** Reads one account. */
+    /** Reads one client account from its expanded section. */
     @FunctionalInterface
     interface AccountSectionReader {
         ClientAccount read(ClientAccountId id, TemplateId template, Section section);
@@ -35,7 +35,7 @@
 
     private TemplateExpansion(Map<String, Object> tree, ProblemCollector problems) {
         this.problems = problems;
-        this.budget = new ParameterSubstitution.Budget();
+        this.budget = new ParameterSubstitution.ValueBudget();
         this.root = Section.of("", tree, problems);
         this.documentParameters =
                 tree.containsKey(PARAMETERS) ? parameterValues(root.child(PARAMETERS)) : Map.of();
@@ -46,29 +46,31 @@
         return new TemplateExpansion(tree, problems);
     }
 
-    /** The document with the values of its own parameters put in, templates left as they are. */
+    /** Returns the document with its own parameters substituted; templates are left unchanged. */
     Map<String, Object> document() {
         return document;
     }
 
     boolean isTooLarge() {
         if (budget.isSpent()) {
-            DocumentLimits.tooManyValues(problems);
+            DocumentLimits.reportTooManyValues(problems);
         }
         return budget.isSpent();
     }
 
-    void markRead(Section section) {
+    void markKeysKnown(Section section) {
         Set.of(PARAMETERS, TEMPLATES, ACCOUNTS).forEach(section::has);
     }
 
     Map<ClientAccountId, ClientAccount> accounts(
-            AccountSectionReader reader, Function<String, ClientAccountId> type) {
+            AccountSectionReader reader, Function<String, ClientAccountId> factory) {
         Map<TemplateId, Template> templates =
                 root.entries(TEMPLATES, TemplateId::of, (id, section) -> template(section));
         Map<ClientAccountId, Optional<ClientAccount>> read =
                 root.entries(
-                        ACCOUNTS, type, (id, section) -> account(id, section, templates, reader));
+                        ACCOUNTS,
+                        factory,
+                        (id, section) -> account(id, section, templates, reader));
         isTooLarge();
         return read.values().stream()
                 .flatMap(Optional::stream)
@@ -95,17 +97,17 @@
             Section declared = section.child(PARAMETERS);
             declared.children()
                     .forEach((name, value) -> parameters.put(name, declared.child(name)));
-            parameters.keySet().forEach(name -> checkName(declared, name));
+            parameters.keySet().forEach(name -> checkParameterName(declared, name));
             parameters.values().forEach(TemplateExpansion::checkDeclaration);
         }
         Section account = section.child("account");
-        section.finish();
+        section.reportUnknownKeys();
         return new Template(parameters, account.children());
     }
 
     private static void checkDeclaration(Section declaration) {
         declaration.has("default");
-        declaration.finish();
+        declaration.reportUnknownKeys();
     }
 
     private Optional<ClientAccount> account(
@@ -113,23 +115,24 @@
             Section section,
             Map<TemplateId, Template> templates,
             AccountSectionReader reader) {
-        Optional<TemplateId> name =
+        Optional<TemplateId> templateId =
                 section.reference("template", TemplateId::of, templates.keySet());
-        Map<String, Object> given = section.has(PARAMETERS) ? givenParameters(section) : Map.of();
-        section.finish();
-        if (name.isEmpty()) {
+        Map<String, Object> givenParameters =
+                section.has(PARAMETERS) ? givenParameters(section) : Map.of();
+        section.reportUnknownKeys();
+        if (templateId.isEmpty()) {
             return Optional.empty();
         }
-        Template template = templates.get(name.get());
-        checkGiven(section, template, given);
-        Map<String, Object> values = values(template, given);
+        Template template = templates.get(templateId.get());
+        checkGivenParameters(section, template, givenParameters);
+        Map<String, Object> values = parameterValuesFor(template, givenParameters);
         ParameterSubstitution substitution = ParameterSubstitution.of(values, problems, budget);
         Object expanded = substitution.apply(section.path(), template.account());
         if (budget.isSpent()) {
             return Optional.empty();
         }
         Section expandedSection = Section.of(section.path(), expanded, problems);
-        return Optional.of(reader.read(id, name.get(), expandedSection));
+        return Optional.of(reader.read(id, templateId.get(), expandedSection));
     }
 
     private Map<String, Object> givenParameters(Section section) {
@@ -145,30 +148,32 @@
         return result;
     }
 
-    // A required parameter without a value is reported where it was to be given, and only there.
-    private static void checkGiven(Section section, Template template, Map<String, Object> given) {
+    // A required parameter without a value is reported once, at the account that has to set it.
+    private static void checkGivenParameters(
+            Section section, Template template, Map<String, Object> givenParameters) {
         template.parameters().entrySet().stream()
-                .filter(declared -> !given.containsKey(declared.getKey()))
+                .filter(declared -> !givenParameters.containsKey(declared.getKey()))
                 .filter(declared -> !declared.getValue().has("default"))
                 .forEach(
                         declared ->
-                                section.problem(
+                                section.addProblem(
                                         ProblemKind.MISSING,
                                         PARAMETERS + "." + declared.getKey(),
                                         "nothing",
                                         "a value: the template has no default"));
-        given.keySet().stream()
+        givenParameters.keySet().stream()
                 .filter(name -> !template.parameters().containsKey(name))
                 .forEach(
                         name ->
-                                section.problem(
+                                section.addProblem(
                                         ProblemKind.UNKNOWN_KEY,
                                         PARAMETERS + "." + name,
                                         "a parameter that the template does not have",
-                                        Values.oneOf(template.parameters().keySet())));
+                                        DocumentValues.oneOf(template.parameters().keySet())));
     }
 
-    private Map<String, Object> values(Template template, Map<String, Object> given) {
+    private Map<String, Object> parameterValuesFor(
+            Template template, Map<String, Object> givenParameters) {
         Map<String, Object> values = new LinkedHashMap<>(documentParameters);
         template.parameters()
                 .forEach(
@@ -177,19 +182,20 @@
                                         name,
                                         declaration.has("default")
                                                 ? declaration.raw("default")
-                                                : Values.UNRESOLVED));
-        values.putAll(given);
+                                                : DocumentValues.UNRESOLVED));
+        values.putAll(givenParameters);
         return values;
     }
 
     private Map<String, Object> parameterValues(Section section) {
-        section.children().keySet().forEach(name -> checkName(section, name));
+        section.children().keySet().forEach(name -> checkParameterName(section, name));
         return section.children();
     }
 
-    private static void checkName(Section section, String name) {
+    private static void checkParameterName(Section section, String name) {
         if (!PARAMETER_NAME.matcher(name).matches()) {
-            section.problem(ProblemKind.BAD_FORM, name, Values.describe(name), PARAMETER_FORM);
+            section.addProblem(
+                    ProblemKind.BAD_FORM, name, DocumentValues.describe(name), PARAMETER_FORM);
         }
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/Warning.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/Warning.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Something that an accepted configuration cannot keep.
+ * A requirement that an accepted configuration states but cannot satisfy.
  *
- * @param path where in the document
- * @param kind what cannot be kept
- * @param message the details for people
+ * @param path the place in the document
+ * @param kind the kind of requirement
+ * @param message the details, for operators
  */
 public record Warning(String path, WarningKind kind, String message) {
 
--- a/core/src/main/java/org/tamaracktrack/core/config/WarningKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/WarningKind.java
@@ -1,17 +1,17 @@
 package org.tamaracktrack.core.config;
 
-/** What an accepted configuration cannot keep. */
+/** The kinds of requirement that an accepted configuration cannot satisfy. */
 public enum WarningKind {
     /** Not all models fit into memory at once; some are reachable by load on demand only. */
     NOT_ALL_RESIDENT,
-    /** There is no memory for a second copy of some models. */
+    /** There is no memory for a second copy of some models on another target. */
     ONE_COPY_ONLY,
-    /** Some models can be placed in one data centre only. */
+    /** Some models fit accelerators of one data centre only. */
     ONE_DATA_CENTRE,
-    /** A client account's cap is below what its share of a target comes to. */
+    /** A client account's cap is below the number of requests that its share of a target allows. */
     CAP_BELOW_SHARE,
-    /** A client account's cap is above what any target runs at once. */
+    /** A client account's cap is above the concurrency of every target that it uses. */
     CAP_ABOVE_CONCURRENCY,
-    /** A client account's queue limit is above the queue limits of its classes together. */
+    /** A client account's queue limit is above the sum of the queue limits of its classes. */
     QUEUE_ABOVE_CLASSES
 }
--- a/core/src/main/java/org/tamaracktrack/core/config/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration that operators publish: the document with templates and parameters, its checks,
- * and the resolved form that every process works from.
+ * The configuration that operators publish: the document with templates and parameters, its
+ * validation, and the expanded form that every process uses.
  */
 package org.tamaracktrack.core.config;
--- a/core/src/test/java/org/tamaracktrack/core/config/ConfigurationReaderFuzzTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/ConfigurationReaderFuzzTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Test;
 
 class ConfigurationReaderFuzzTest {
-    /** Far above what any document takes: it tells a reader that hangs, not a busy machine. */
+    /** Far above the time for any document, so that only a hang fails, not a busy host. */
     private static final Duration HANG_LIMIT = Duration.ofSeconds(60);
 
     private static final List<Object> VALUES = values();
 
-    /** One change of the document; the numbers pick the place and the value. */
-    record Mutation(int place, boolean drop, int value) {}
+    /** One change of the document; the indexes select the place and the new value. */
+    record Mutation(int placeIndex, boolean drop, int valueIndex) {}
 
     private record Place(Object container, Object key) {}
 
@@ -81,7 +81,7 @@
         for (int level = 0; level < depth; level++) {
             value = level % 2 == 0 ? SampleDocument.map("k", value) : SampleDocument.list(value);
         }
-        // Shared by all tries, so it must not be changed by one of them.
+        // Shared by all tries, so it must be immutable.
         return Map.of("k", value);
     }
 
@@ -93,7 +93,7 @@
         return Collections.unmodifiableMap(map);
     }
 
-    private static void collect(Object value, List<Place> places) {
+    private static void collectPlaces(Object value, List<Place> places) {
         if (places.size() > 1_000) {
             return;
         }
@@ -102,12 +102,12 @@
                     .forEach(
                             key -> {
                                 places.add(new Place(map, key));
-                                collect(map.get(key), places);
+                                collectPlaces(map.get(key), places);
                             });
         } else if (value instanceof ArrayList<?> list) {
             for (int index = 0; index < list.size(); index++) {
                 places.add(new Place(list, index));
-                collect(list.get(index), places);
+                collectPlaces(list.get(index), places);
             }
         }
     }
@@ -119,30 +119,30 @@
                 (key, value) -> {
                     places.add(new Place(tree, key));
                     if (value instanceof LinkedHashMap<?, ?> && places.size() < 1_000) {
-                        collect(value, places);
+                        collectPlaces(value, places);
                     }
                 });
         if (places.isEmpty()) {
             return;
         }
-        Place place = places.get(mutation.place() % places.size());
+        Place place = places.get(mutation.placeIndex() % places.size());
         if (place.container() instanceof Map<?, ?>) {
             Map<String, Object> map = (Map<String, Object>) place.container();
             if (mutation.drop()) {
                 map.remove(place.key());
             } else {
-                map.put((String) place.key(), VALUES.get(mutation.value()));
+                map.put((String) place.key(), VALUES.get(mutation.valueIndex()));
             }
         } else {
             List<Object> list = (List<Object>) place.container();
-            list.set((int) place.key(), VALUES.get(mutation.value()));
+            list.set((int) place.key(), VALUES.get(mutation.valueIndex()));
         }
     }
 
-    // A daemon reads whatever stands in the log. An exception would end its control task and leave
-    // it with an old configuration; a document that takes for ever would freeze it.
+    // A daemon reads any document that was appended to the log. An exception would end its control
+    // task and leave it with an old configuration; a read that does not end would block it.
     @Property(seed = "90210", tries = 2000)
-    void shouldAcceptOrNameProblemsWhateverTheDocument(
+    void shouldAcceptOrReportProblemsWhenTheDocumentIsMutated(
             @ForAll("mutations") List<Mutation> mutations) {
         Map<String, Object> tree = SampleDocument.tree();
         mutations.forEach(mutation -> mutate(tree, mutation));
@@ -158,10 +158,11 @@
         assertThat(ConfigurationReader.read(tree)).isEqualTo(reading);
     }
 
-    // Every problem is to be reported at once: an operator who mends all that is named must not be
-    // told of more that was there before. Each dropped or misspelt value is named by its path.
+    // All problems are reported at once: an operator who fixes every reported problem must not then
+    // see others that were present before. Each unknown key is reported by its path.
     @Property(seed = "777", tries = 300)
-    void shouldNameEveryMisspeltKeyAtOnce(@ForAll("subsetOfSections") List<String> sections) {
+    void shouldReportEveryUnknownKeyWhenSeveralAreAdded(
+            @ForAll("subsetOfSections") List<String> sections) {
         Map<String, Object> tree = SampleDocument.tree();
         sections.forEach(section -> SampleDocument.at(tree, section.split("/")).put("zz", 1));
 
@@ -199,7 +200,7 @@
     }
 
     @Test
-    void shouldEndInTimeWhenTheDocumentIsAsLargeAsItMayBe() {
+    void shouldFinishInTimeWhenTheDocumentIsLarge() {
         Map<String, Object> tree = SampleDocument.tree();
         Map<String, Object> models = SampleDocument.at(tree, "models");
         Map<String, Object> accounts = SampleDocument.at(tree, "accounts");
--- a/core/src/test/java/org/tamaracktrack/core/config/ConfigurationReaderTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/ConfigurationReaderTest.java
@@ -73,7 +73,7 @@
         }
 
         @Test
-        void shouldReportWhenAParameterIsNotOfTheTemplate() {
+        void shouldReportWhenTheTemplateDoesNotDeclareAParameter() {
             at(tree, "accounts", "north-stores", "parameters").put("shares", 3);
 
             assertThat(onlyProblem().allowed()).isEqualTo("one of key, models, share");
@@ -125,7 +125,7 @@
         }
 
         @Test
-        void shouldAskForQuotesWhenAVersionIsANumber() {
+        void shouldSuggestQuotesWhenAVersionIsANumber() {
             at(tree, "models", "reader").put("version", 1);
 
             assertThat(onlyProblem().allowed()).contains("put it in quotes");
@@ -142,7 +142,7 @@
         }
 
         @Test
-        void shouldRejectWhenAnAdapterFitsNowhereBesideItsModel() {
+        void shouldRejectWhenAnAdapterAndItsModelFitNoAccelerator() {
             at(tree, "adapters", "north").put("memoryMebibytes", 12_289);
 
             assertThat(onlyProblem().path()).isEqualTo("adapters.north.memoryMebibytes");
@@ -177,7 +177,7 @@
         }
 
         @Test
-        void shouldRejectWhenTemplatesMultiplyTheDocument() {
+        void shouldRejectWhenTheExpandedDocumentIsTooLarge() {
             Map<String, Object> parameters = at(tree, "parameters");
             parameters.put("many", list((Object[]) "x ".repeat(20_000).split(" ")));
             at(tree, "templates", "customer", "account")
@@ -190,7 +190,7 @@
     @Nested
     class Warnings {
         @Test
-        void shouldNotWarnWhenEverythingCanBeKept() {
+        void shouldNotWarnWhenEverythingCanBeSatisfied() {
             assertThat(accepted().warnings()).isEmpty();
         }
 
@@ -206,14 +206,14 @@
         }
 
         @Test
-        void shouldWarnWhenThereIsRoomForOneCopyOnly() {
+        void shouldWarnWhenThereIsMemoryForOneCopyOnly() {
             at(tree, "models").put("a", map("version", "1", "memoryMebibytes", 16_000));
 
             assertThat(warnings()).contains(WarningKind.ONE_COPY_ONLY);
         }
 
         @Test
-        void shouldWarnWhenOneDataCentreHoldsAll() {
+        void shouldWarnWhenModelsFitOneDataCentreOnly() {
             at(tree, "targets", "engine-2").put("dataCentre", "quito-1");
 
             assertThat(warnings()).contains(WarningKind.ONE_DATA_CENTRE);
--- a/core/src/test/java/org/tamaracktrack/core/config/ConfigurationRegisterTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/ConfigurationRegisterTest.java
@@ -15,11 +15,11 @@
             ConfigurationRegister.of(RegisterDocuments::parse);
 
     private long version() {
-        return register.inForce().map(InForce::version).orElse(-1L);
+        return register.inForce().map(ConfigurationInForce::version).orElse(-1L);
     }
 
     private String document() {
-        return register.inForce().map(InForce::document).orElse("");
+        return register.inForce().map(ConfigurationInForce::document).orElse("");
     }
 
     @Nested
@@ -34,7 +34,7 @@
         }
 
         @Test
-        void shouldRejectTheSecondWhenTwoOperatorsRace() {
+        void shouldSupersedeTheSecondPublicationWhenTwoOperatorsRace() {
             register.handle(publication(0, "p", -1, "first"));
             register.handle(publication(1, "q", 0, "left"));
             List<ConfigurationEvent> events = register.handle(publication(2, "r", 0, "right"));
@@ -44,7 +44,7 @@
         }
 
         @Test
-        void shouldCallItDoubledWhenAnAppendWasRetried() {
+        void shouldReportADuplicateWhenAnAppendWasRetried() {
             register.handle(publication(0, "p", -1, "first"));
             List<ConfigurationEvent> events = register.handle(publication(1, "p", -1, "first"));
 
@@ -53,7 +53,7 @@
         }
 
         @Test
-        void shouldStayWithTheOldWhenTheNewDoesNotValidate() {
+        void shouldKeepTheVersionInForceWhenANewDocumentIsInvalid() {
             register.handle(publication(0, "p", -1, "first"));
             register.handle(publication(1, "q", 0, RegisterDocuments.INVALID));
             register.handle(publication(2, "r", 0, RegisterDocuments.BROKEN));
@@ -71,7 +71,7 @@
         }
 
         @Test
-        void shouldWaitForASnapshotWhenTheFormatIsOfALaterRelease() {
+        void shouldAwaitASnapshotWhenTheFormatIsOfALaterRelease() {
             register.handle(publication(0, "p", -1, "first"));
             register.handle(publication(1, "q", 0, RegisterDocuments.LATER_FORMAT));
             register.handle(publication(2, "r", 1, "third"));
@@ -87,9 +87,9 @@
     @Nested
     class Gaps {
         @Test
-        void shouldWaitForASnapshotWhenRecordsExpiredUnread() {
+        void shouldAwaitASnapshotWhenRecordsExpiredUnread() {
             register.handle(publication(0, "p", -1, "first"));
-            register.gap(5);
+            register.handleGap(5);
             register.handle(publication(5, "q", 0, "fifth"));
 
             assertThat(register.awaitsSnapshot()).isTrue();
@@ -98,7 +98,7 @@
         }
 
         @Test
-        void shouldTakeAHoleForAGapWhenNobodySaidSo() {
+        void shouldAwaitASnapshotWhenOffsetsAreSkippedWithoutNotice() {
             register.handle(publication(0, "p", -1, "first"));
             register.handle(publication(5, "q", 0, "fifth"));
 
@@ -107,7 +107,7 @@
         }
 
         @Test
-        void shouldPassOverWhenARecordIsUnreadable() {
+        void shouldSkipTheOffsetWhenARecordIsUnreadable() {
             register.handle(publication(0, "p", -1, "first"));
             register.handleUnreadable(1);
             register.handle(publication(2, "q", 0, "second"));
@@ -116,8 +116,8 @@
         }
 
         @Test
-        void shouldJudgeRecordsThatCameWhileTheSnapshotWasWritten() {
-            register.gap(5);
+        void shouldEvaluateBufferedRecordsWhenASnapshotArrivesAfterThem() {
+            register.handleGap(5);
             register.handle(publication(5, "q", 3, "fifth"));
             register.handle(publication(6, "r", 5, "sixth"));
             register.handle(snapshot(7, 6, 5, "fifth"));
@@ -127,8 +127,8 @@
         }
 
         @Test
-        void shouldNotStartWhenTheSnapshotDoesNotReachTheGapsEnd() {
-            register.gap(5);
+        void shouldNotStartWhenTheSnapshotEndsInsideTheGap() {
+            register.handleGap(5);
             register.handle(snapshot(5, 4, 3, "third"));
 
             assertThat(register.awaitsSnapshot()).isTrue();
@@ -137,17 +137,17 @@
 
         @Test
         void shouldNotStartWhenTheSnapshotNamesNoVersion() {
-            register.gap(5);
+            register.handleGap(5);
             register.handle(snapshot(5, 5, -1, "none"));
 
             assertThat(register.awaitsSnapshot()).isTrue();
         }
 
         @Test
-        void shouldNotGoBackWhenASnapshotIsOlder() {
+        void shouldKeepTheVersionInForceWhenASnapshotIsOlder() {
             register.handle(publication(0, "p", -1, "first"));
             register.handle(publication(1, "q", 0, "second"));
-            register.gap(5);
+            register.handleGap(5);
             List<ConfigurationEvent> events = register.handle(snapshot(5, 5, 0, "first"));
 
             assertThat(events).containsExactly(new InvariantBroken(Breach.SNAPSHOT_DISAGREES, 0));
@@ -158,7 +158,7 @@
     @Nested
     class Snapshots {
         @Test
-        void shouldAgreeWhenItSaysWhatWasRead() {
+        void shouldAgreeWhenTheSnapshotMatchesTheRecordsRead() {
             register.handle(publication(0, "p", -1, "first"));
             register.handle(publication(1, "q", 0, "second"));
 
@@ -168,7 +168,7 @@
         }
 
         @Test
-        void shouldCountABreachWhenItSaysSomethingElse() {
+        void shouldReportABreachWhenTheSnapshotDiffersFromTheRecordsRead() {
             register.handle(publication(0, "p", -1, "first"));
 
             assertThat(register.handle(snapshot(1, 1, 0, "forged")))
@@ -180,36 +180,37 @@
     @Nested
     class Offers {
         @Test
-        void shouldTakeWhenTheLogIsOutAndItIsHigher() {
-            register.unreachable();
-            register.offer(7, "seventh");
-            register.offer(4, "fourth");
+        void shouldTakeTheHighestOfferWhenTheLogIsUnreachable() {
+            register.handleLogUnreachable();
+            register.handleOffer(7, "seventh");
+            register.handleOffer(4, "fourth");
 
             assertThat(version()).isEqualTo(7);
         }
 
         @Test
-        void shouldNotTakeWhenTheLogIsFollowed() {
+        void shouldIgnoreAnOfferWhenTheLogIsFollowed() {
             register.handle(publication(0, "p", -1, "first"));
-            register.caughtUp(1);
+            register.handleEndOfLog(1);
 
-            assertThat(register.offer(7, "seventh")).isEmpty();
+            assertThat(register.handleOffer(7, "seventh")).isEmpty();
             assertThat(version()).isEqualTo(0);
         }
 
         @Test
-        void shouldHoldWhileTheLogIsReadFromItsStart() {
-            register.offer(1, "second");
+        void shouldKeepAnOfferWhenTheLogIsStillBeingReadFromItsStart() {
+            register.handleOffer(1, "second");
             register.handle(publication(0, "p", -1, "first"));
             assertThat(version()).isEqualTo(1);
 
             register.handle(publication(1, "q", 0, "second"));
-            assertThat(register.inForce().map(InForce::confirmed).orElse(false)).isTrue();
+            assertThat(register.inForce().map(ConfigurationInForce::confirmed).orElse(false))
+                    .isTrue();
         }
 
         @Test
-        void shouldGiveWayWhenTheLogShowsAnotherDocument() {
-            register.offer(0, "forged");
+        void shouldDiscardTheOfferWhenTheLogHasAnotherDocument() {
+            register.handleOffer(0, "forged");
             List<ConfigurationEvent> events = register.handle(publication(0, "p", -1, "first"));
 
             assertThat(events).contains(new InvariantBroken(Breach.OFFER_CONTRADICTED, 0));
--- a/core/src/test/java/org/tamaracktrack/core/config/ConfigurationSchedule.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/ConfigurationSchedule.java
@@ -21,46 +21,46 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * Several readers of one log in memory, driven step by step, and checked after each step against a
- * plain reckoning of which version is in force at each offset.
+ * Runs several readers of one in-memory log step by step and checks them after each step against a
+ * simple model of which version is in force at each offset.
  */
 final class ConfigurationSchedule {
     private static final int READERS = 4;
-    private static final int KEEPER = 0;
+    private static final int COMPLETE_READER = 0;
 
-    /** What may happen. */
+    /** The kinds of step. */
     enum Kind {
         PUBLISH,
-        PUBLISH_ON_OLD,
-        PUBLISH_ON_GUESS,
+        PUBLISH_ON_EARLIER_VERSION,
+        PUBLISH_ON_FUTURE_VERSION,
         PUBLISH_INVALID,
-        APPEND_AGAIN,
-        APPEND_LATE,
-        UNREADABLE,
-        SNAPSHOT,
-        SNAPSHOT_LATE,
-        LATE_ARRIVES,
+        REPEAT_APPEND,
+        DELAY_APPEND,
+        APPEND_UNREADABLE,
+        APPEND_SNAPSHOT,
+        DELAY_SNAPSHOT,
+        DELIVER_DELAYED_APPEND,
         READ_ONE,
         READ_ALL,
         EXPIRE,
         OFFER,
-        OFFER_LATE,
-        LATE_OFFER_ARRIVES,
-        LOG_OUT,
+        DELAY_OFFER,
+        DELIVER_DELAYED_OFFER,
+        LOG_UNREACHABLE,
         RESTART
     }
 
-    /** One step; the numbers choose among what there is. */
+    /** A step; the numbers select a reader, publication, version or offset. */
     record Step(Kind kind, int first, int second) {}
 
     private record Offer(long version, String document) {}
 
     private final List<Optional<LogEntry>> log = new ArrayList<>();
-    private final List<LogEntry.Publication> published = new ArrayList<>();
-    private final Deque<LogEntry> lateAppends = new ArrayDeque<>();
-    private final Deque<Offer> lateOffers = new ArrayDeque<>();
-    private final TreeMap<Long, String> accepted = new TreeMap<>();
-    private final Set<PublicationId> counted = new HashSet<>();
+    private final List<LogEntry.Publication> distinctPublications = new ArrayList<>();
+    private final Deque<LogEntry> delayedAppends = new ArrayDeque<>();
+    private final Deque<Offer> delayedOffers = new ArrayDeque<>();
+    private final TreeMap<Long, String> expectedAccepted = new TreeMap<>();
+    private final Set<PublicationId> appendedPublications = new HashSet<>();
     private final ConfigurationRegister[] readers = new ConfigurationRegister[READERS];
     private final long[] highestConfirmed = new long[READERS];
     private final long[] highestInForce = new long[READERS];
@@ -70,7 +70,7 @@
         IntStream.range(0, READERS).forEach(this::restart);
     }
 
-    static Arbitrary<List<Step>> schedules(int mostSteps) {
+    static Arbitrary<List<Step>> schedules(int maximumSteps) {
         return Combinators.combine(
                         Arbitraries.of(Kind.class),
                         Arbitraries.integers().between(0, 63),
@@ -78,61 +78,66 @@
                 .as(Step::new)
                 .list()
                 .ofMinSize(1)
-                .ofMaxSize(mostSteps);
+                .ofMaxSize(maximumSteps);
     }
 
     void run(List<Step> steps) {
         steps.forEach(
                 step -> {
                     apply(step);
-                    read(KEEPER, log.size());
-                    IntStream.range(0, READERS).forEach(this::check);
+                    read(COMPLETE_READER, log.size());
+                    IntStream.range(0, READERS).forEach(this::checkReader);
                 });
     }
 
-    /** Whatever happened, one snapshot by a reader that missed nothing brings all together. */
-    void converge() {
-        readers[KEEPER].snapshot().ifPresent(this::append);
+    /** Checks that one snapshot by a reader that missed nothing makes all readers converge. */
+    void checkConvergence() {
+        readers[COMPLETE_READER].snapshot().ifPresent(this::append);
         IntStream.range(0, READERS).forEach(reader -> read(reader, log.size()));
-        IntStream.range(0, READERS).forEach(this::check);
+        IntStream.range(0, READERS).forEach(this::checkReader);
         IntStream.range(0, READERS)
-                .filter(reader -> !accepted.isEmpty())
+                .filter(reader -> !expectedAccepted.isEmpty())
                 .forEach(
                         reader ->
                                 assertWithMessage("version at reader %s", reader)
                                         .that(readers[reader].confirmedVersion())
-                                        .isEqualTo(accepted.lastKey()));
+                                        .isEqualTo(expectedAccepted.lastKey()));
     }
 
     private void apply(Step step) {
         int reader = 1 + step.first() % (READERS - 1);
         switch (step.kind()) {
-            case PUBLISH -> publish(versionBefore(log.size()), "document");
-            case PUBLISH_ON_OLD -> publish(versionBefore(pick(step, log.size() + 1)), "document");
-            case PUBLISH_ON_GUESS -> publish(log.size() + step.first() % 4, "document");
-            case PUBLISH_INVALID -> publish(versionBefore(log.size()), RegisterDocuments.INVALID);
-            case APPEND_AGAIN -> pick(step).ifPresent(this::append);
-            case APPEND_LATE -> pick(step).ifPresent(lateAppends::add);
-            case UNREADABLE -> log.add(Optional.empty());
-            case SNAPSHOT -> readers[step.first() % READERS].snapshot().ifPresent(this::append);
-            case SNAPSHOT_LATE ->
-                    readers[step.first() % READERS].snapshot().ifPresent(lateAppends::add);
-            case LATE_ARRIVES -> Optional.ofNullable(lateAppends.poll()).ifPresent(this::append);
+            case PUBLISH -> publish(expectedVersionBefore(log.size()), "document");
+            case PUBLISH_ON_EARLIER_VERSION ->
+                    publish(expectedVersionBefore(pick(step, log.size() + 1)), "document");
+            case PUBLISH_ON_FUTURE_VERSION -> publish(log.size() + step.first() % 4, "document");
+            case PUBLISH_INVALID ->
+                    publish(expectedVersionBefore(log.size()), RegisterDocuments.INVALID);
+            case REPEAT_APPEND -> pick(step).ifPresent(this::append);
+            case DELAY_APPEND -> pick(step).ifPresent(delayedAppends::add);
+            case APPEND_UNREADABLE -> log.add(Optional.empty());
+            case APPEND_SNAPSHOT ->
+                    readers[step.first() % READERS].snapshot().ifPresent(this::append);
+            case DELAY_SNAPSHOT ->
+                    readers[step.first() % READERS].snapshot().ifPresent(delayedAppends::add);
+            case DELIVER_DELAYED_APPEND ->
+                    Optional.ofNullable(delayedAppends.poll()).ifPresent(this::append);
             case READ_ONE -> read(reader, 1);
             case READ_ALL -> read(reader, log.size());
             case EXPIRE -> firstOffset = Math.max(firstOffset, pick(step, log.size() + 1));
             case OFFER -> offerOf(step).ifPresent(offer -> offer(reader, offer));
-            case OFFER_LATE -> offerOf(step).ifPresent(lateOffers::add);
-            case LATE_OFFER_ARRIVES ->
-                    Optional.ofNullable(lateOffers.poll()).ifPresent(offer -> offer(reader, offer));
-            case LOG_OUT -> readers[reader].unreachable();
+            case DELAY_OFFER -> offerOf(step).ifPresent(delayedOffers::add);
+            case DELIVER_DELAYED_OFFER ->
+                    Optional.ofNullable(delayedOffers.poll())
+                            .ifPresent(offer -> offer(reader, offer));
+            case LOG_UNREACHABLE -> readers[reader].handleLogUnreachable();
             default -> restart(reader);
         }
     }
 
     private void publish(long basedOn, String kind) {
-        PublicationId id = PublicationId.of("p-" + published.size());
-        String document = kind + "-" + published.size();
+        PublicationId id = PublicationId.of("p-" + distinctPublications.size());
+        String document = kind + "-" + distinctPublications.size();
         append(new LogEntry.Publication(id, basedOn, document, "operator", ""));
     }
 
@@ -140,20 +145,20 @@
         long offset = log.size();
         log.add(Optional.of(entry));
         entry.asPublication()
-                .filter(publication -> counted.add(publication.publication()))
-                .ifPresent(publication -> reckon(offset, publication));
+                .filter(publication -> appendedPublications.add(publication.publication()))
+                .ifPresent(publication -> updateExpected(offset, publication));
     }
 
-    private void reckon(long offset, LogEntry.Publication publication) {
-        published.add(publication);
+    private void updateExpected(long offset, LogEntry.Publication publication) {
+        distinctPublications.add(publication);
         boolean valid = !publication.document().startsWith(RegisterDocuments.INVALID);
-        if (valid && publication.basedOn() == versionBefore(offset)) {
-            accepted.put(offset, publication.document());
+        if (valid && publication.basedOn() == expectedVersionBefore(offset)) {
+            expectedAccepted.put(offset, publication.document());
         }
     }
 
-    private long versionBefore(long offset) {
-        return Optional.ofNullable(accepted.lowerKey(offset)).orElse(-1L);
+    private long expectedVersionBefore(long offset) {
+        return Optional.ofNullable(expectedAccepted.lowerKey(offset)).orElse(-1L);
     }
 
     private static int pick(Step step, int count) {
@@ -161,9 +166,9 @@
     }
 
     private Optional<LogEntry.Publication> pick(Step step) {
-        return published.isEmpty()
+        return distinctPublications.isEmpty()
                 ? Optional.empty()
-                : Optional.of(published.get(pick(step, published.size())));
+                : Optional.of(distinctPublications.get(pick(step, distinctPublications.size())));
     }
 
     private Optional<Offer> offerOf(Step step) {
@@ -173,11 +178,11 @@
     }
 
     private void offer(int reader, Offer offer) {
-        honest(readers[reader].offer(offer.version(), offer.document()));
+        assertNoInvariantBroken(readers[reader].handleOffer(offer.version(), offer.document()));
     }
 
     private void restart(int reader) {
-        if (readers[reader] != null && reader == KEEPER) {
+        if (readers[reader] != null && reader == COMPLETE_READER) {
             return;
         }
         readers[reader] = ConfigurationRegister.of(RegisterDocuments::parse);
@@ -188,7 +193,7 @@
     private void read(int reader, int count) {
         ConfigurationRegister register = readers[reader];
         if (firstOffset > register.nextOffset()) {
-            honest(register.gap(firstOffset));
+            assertNoInvariantBroken(register.handleGap(firstOffset));
         }
         long from = Math.max(firstOffset, register.nextOffset());
         long end = Math.min(log.size(), from + count);
@@ -200,21 +205,24 @@
         for (long offset = from; offset < end; offset++) {
             long at = offset;
             log.get((int) offset)
-                    .ifPresent(entry -> honest(register.handle(LogRecord.of(at, at, entry))));
+                    .ifPresent(
+                            entry ->
+                                    assertNoInvariantBroken(
+                                            register.handle(LogRecord.of(at, at, entry))));
         }
         if (end == log.size()) {
-            honest(register.caughtUp(end));
+            assertNoInvariantBroken(register.handleEndOfLog(end));
         }
     }
 
-    private static void honest(List<ConfigurationEvent> events) {
+    private static void assertNoInvariantBroken(List<ConfigurationEvent> events) {
         assertThat(events.stream().filter(InvariantBroken.class::isInstance).toList()).isEmpty();
     }
 
-    private void check(int reader) {
+    private void checkReader(int reader) {
         ConfigurationRegister register = readers[reader];
         long confirmed = register.confirmedVersion();
-        long inForce = register.inForce().map(InForce::version).orElse(-1L);
+        long inForce = register.inForce().map(ConfigurationInForce::version).orElse(-1L);
         assertWithMessage("confirmed version at reader %s", reader)
                 .that(confirmed)
                 .isAtLeast(highestConfirmed[reader]);
@@ -226,13 +234,13 @@
         if (!register.awaitsSnapshot()) {
             assertWithMessage("version at reader %s, offset %s", reader, register.nextOffset())
                     .that(confirmed)
-                    .isEqualTo(versionBefore(register.nextOffset()));
+                    .isEqualTo(expectedVersionBefore(register.nextOffset()));
         }
         register.inForce()
                 .ifPresent(
                         known ->
                                 assertWithMessage("document of version %s", known.version())
                                         .that(known.document())
-                                        .isEqualTo(accepted.get(known.version())));
+                                        .isEqualTo(expectedAccepted.get(known.version())));
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/config/ConfigurationScheduleLongRun.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/ConfigurationScheduleLongRun.java
@@ -7,23 +7,23 @@
 import net.jqwik.api.Provide;
 
 /**
- * The schedules of {@link ConfigurationScheduleTest}, longer and from a seed that is drawn for each
- * run and printed when one fails. Not part of CI: {@code mvn -pl core test
+ * Runs the property of {@link ConfigurationScheduleTest} with longer schedules and a random seed,
+ * which is printed when a schedule fails. Not part of CI: {@code mvn -pl core test
  * -Dtest=ConfigurationScheduleLongRun}.
  */
 class ConfigurationScheduleLongRun {
-    private static final int MOST_STEPS = 300;
+    private static final int MAXIMUM_STEPS = 300;
 
     @Provide
     Arbitrary<List<ConfigurationSchedule.Step>> schedules() {
-        return ConfigurationSchedule.schedules(MOST_STEPS);
+        return ConfigurationSchedule.schedules(MAXIMUM_STEPS);
     }
 
     @Property(tries = 20_000)
-    void shouldAgreeAtEachOffsetAndNeverGoBack(
+    void shouldAgreeAtEachOffsetAndNeverLowerTheVersionWhenEventsInterleave(
             @ForAll("schedules") List<ConfigurationSchedule.Step> steps) {
         ConfigurationSchedule schedule = new ConfigurationSchedule();
         schedule.run(steps);
-        schedule.converge();
+        schedule.checkConvergence();
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/config/ConfigurationScheduleTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/ConfigurationScheduleTest.java
@@ -7,23 +7,25 @@
 import net.jqwik.api.Provide;
 
 class ConfigurationScheduleTest {
-    private static final int MOST_STEPS = 80;
+    private static final int MAXIMUM_STEPS = 80;
 
     @Provide
     Arbitrary<List<ConfigurationSchedule.Step>> schedules() {
-        return ConfigurationSchedule.schedules(MOST_STEPS);
+        return ConfigurationSchedule.schedules(MAXIMUM_STEPS);
     }
 
-    // An operator is told "accepted", and a daemon goes on with another configuration: callers get
-    // what nobody promised them. Operators race, appends are retried and written late, records are
-    // doubled and expire, snapshots cross with publications, readers fall behind, restart, and hear
-    // old and new versions from each other, in any order. At each offset every reader that says it
-    // knows has the same version, no reader goes back, and one snapshot brings all together.
+    // Guards against a daemon that serves callers by another configuration than the one that an
+    // operator was told is accepted. Publications race, appends are retried, duplicated and
+    // delayed,
+    // records expire, snapshots interleave with publications, and readers lag, restart and receive
+    // old and new offers from each other, in any order. At each offset, all readers that do not
+    // await a snapshot have the same version; no reader's version decreases; and one snapshot by a
+    // reader that missed nothing makes all readers converge.
     @Property(seed = "20261202", tries = 3000)
-    void shouldAgreeAtEachOffsetAndNeverGoBack(
+    void shouldAgreeAtEachOffsetAndNeverLowerTheVersionWhenEventsInterleave(
             @ForAll("schedules") List<ConfigurationSchedule.Step> steps) {
         ConfigurationSchedule schedule = new ConfigurationSchedule();
         schedule.run(steps);
-        schedule.converge();
+        schedule.checkConvergence();
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/config/RegisterDocuments.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/RegisterDocuments.java
@@ -8,7 +8,7 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** Short texts that stand for documents, for tests of the register. */
+/** Maps short texts to small document trees, for tests of the register. */
 final class RegisterDocuments {
     static final String INVALID = "invalid";
     static final String LATER_FORMAT = "later";
--- a/core/src/test/java/org/tamaracktrack/core/config/SampleDocument.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/SampleDocument.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** A small valid document, as a tree that tests may change. */
+/** Builds a small valid document as a mutable tree. */
 final class SampleDocument {
     private SampleDocument() {}
 
@@ -36,7 +36,7 @@
         return tree;
     }
 
-    /** Returns the map at a path of keys, for changing it. */
+    /** Returns the mutable map at a path of keys. */
     @SuppressWarnings("unchecked")
     static Map<String, Object> at(Map<String, Object> tree, String... keys) {
         Map<String, Object> map = tree;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationSnapshotter.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationSnapshotter.java
@@ -81,7 +81,7 @@
 
     private void seen(LogRecord record) {
         if (record.entry() instanceof LogEntry.ConfigurationSnapshot snapshot) {
-            policy.seen(
+            policy.handleSnapshot(
                     snapshot.upTo(), configuration.status().following(), ControlThread.nowMillis());
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/FollowedConfiguration.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/FollowedConfiguration.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.config.ConfigurationEvent;
+import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.core.config.ConfigurationRegister;
-import org.tamaracktrack.core.config.InForce;
 import org.tamaracktrack.core.log.LogEntry.ConfigurationSnapshot;
 import org.tamaracktrack.core.log.LogRecord;
 import org.tamaracktrack.core.log.LogStream;
@@ -103,7 +103,7 @@
     @Override
     public void offer(long version, String document) {
         Objects.requireNonNull(document, "document is null");
-        control.post(() -> apply(register.offer(version, document)));
+        control.post(() -> apply(register.handleOffer(version, document)));
     }
 
     /**
@@ -116,11 +116,11 @@
     }
 
     private void apply(List<ConfigurationEvent> events) {
-        Optional<InForce> inForce = register.inForce();
+        Optional<ConfigurationInForce> inForce = register.inForce();
         status =
                 new Status(
-                        inForce.map(InForce::version).orElse(-1L),
-                        inForce.filter(InForce::confirmed).isPresent(),
+                        inForce.map(ConfigurationInForce::version).orElse(-1L),
+                        inForce.filter(ConfigurationInForce::confirmed).isPresent(),
                         register.isFollowing(),
                         register.awaitsSnapshot(),
                         register.nextOffset());
@@ -137,7 +137,7 @@
         eventListeners.forEach(listener -> listener.accept(event));
     }
 
-    private static Versioned versioned(InForce inForce) {
+    private static Versioned versioned(ConfigurationInForce inForce) {
         return new Versioned(inForce.version(), inForce.document(), inForce.configuration());
     }
 
@@ -159,18 +159,18 @@
 
         @Override
         public void onGap(long firstOffset) {
-            apply(register.gap(firstOffset));
+            apply(register.handleGap(firstOffset));
         }
 
         @Override
         public void onCaughtUp(long nextOffset) {
-            apply(register.caughtUp(nextOffset));
+            apply(register.handleEndOfLog(nextOffset));
         }
 
         @Override
         public void onReachable(boolean reachable) {
             if (!reachable) {
-                register.unreachable();
+                register.handleLogUnreachable();
             }
             apply(List.of());
         }
