--- a/core/src/main/java/org/tamaracktrack/core/config/ConfigurationRegister.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/ConfigurationRegister.java
@@ -353,10 +353,10 @@
         return events;
     }
 
-    // Continuing from a snapshot with a version below the confirmed one would put an older
-    // configuration back in force. One with the same version and another document, or with a
-    // version
-    // that no buffered publication has, would make this reader differ from every other.
+    // Continuing from a snapshot with a lower version than the confirmed one would put an older
+    // configuration back in force. A snapshot with the confirmed version but another document, or
+    // with a version in the buffered range but no such publication there, would make this reader
+    // differ from every other.
     private boolean contradictsKnownState(ConfigurationSnapshot snapshot) {
         boolean older = snapshot.version() < confirmedVersion();
         boolean differs =
--- a/core/src/main/java/org/tamaracktrack/core/config/CrossChecks.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/CrossChecks.java
@@ -50,8 +50,7 @@
         }
     }
 
-    // Two target daemons that share one engine would each account for all of its memory as their
-    // own.
+    // Each of two target daemons that share an engine would count all its memory as its own.
     private void checkEndpoints(Configuration configuration) {
         Map<String, Target> targetsByEndpoint = new HashMap<>();
         configuration.targets().values().stream()
@@ -64,7 +63,9 @@
                                 problems.add(
                                         ProblemKind.DUPLICATE,
                                         "targets." + target.id() + ".endpoint",
-                                        target.endpoint() + ", which is also " + first.id(),
+                                        target.endpoint()
+                                                + ", which is also the endpoint of "
+                                                + first.id(),
                                         "an endpoint of its own");
                             }
                         });
@@ -92,8 +93,8 @@
             problems.add(
                     ProblemKind.DUPLICATE,
                     "accounts." + account.id() + ".keyHashes",
-                    hash + ", which also proves " + first.id(),
-                    "keys that prove one account only");
+                    hash + ", which also authenticates " + first.id(),
+                    "keys that authenticate one account only");
         }
     }
 
@@ -111,7 +112,7 @@
                                 problems.add(
                                         ProblemKind.MISSING,
                                         "services." + service,
-                                        "no target of this service, and accounts that use it",
+                                        "no target, although accounts use this service",
                                         "one target or more of kind service"));
     }
 
@@ -163,6 +164,6 @@
                 Long.toString(neededMebibytes),
                 "at most "
                         + allowedMebibytes
-                        + ", what the largest accelerator has besides its cache");
+                        + ", the memory of the largest accelerator without its cache");
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/config/ConfigurationSchedule.java
+++ b/core/src/test/java/org/tamaracktrack/core/config/ConfigurationSchedule.java
@@ -203,12 +203,14 @@
             }
         }
         for (long offset = from; offset < end; offset++) {
-            long at = offset;
+            long recordOffset = offset;
             log.get((int) offset)
                     .ifPresent(
                             entry ->
                                     assertNoInvariantBroken(
-                                            register.handle(LogRecord.of(at, at, entry))));
+                                            register.handle(
+                                                    LogRecord.of(
+                                                            recordOffset, recordOffset, entry))));
         }
         if (end == log.size()) {
             assertNoInvariantBroken(register.handleEndOfLog(end));
