--- a/cli/src/main/java/org/tamaracktrack/cli/log/ReportLog.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/ReportLog.java
@@ -19,7 +19,7 @@
      * @return the report
      */
     public static Report read(LogClient log, Patience patience) {
-        ReportRollUp rollUp = ReportRollUp.empty(ReportRollUp.DEFAULT_SILENT_MILLIS);
+        ReportRollUp rollUp = ReportRollUp.empty(ReportRollUp.DEFAULT_MISSING_AFTER_MILLIS);
         AtomicLong newestMillis = new AtomicLong();
         StreamReader.of(
                         log,
@@ -29,7 +29,7 @@
                             rollUp.handle(record);
                         },
                         offset -> {},
-                        rollUp::onGap)
+                        rollUp::handleGap)
                 .readToEnd(patience);
         return rollUp.report(newestMillis.get());
     }
--- a/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
@@ -150,7 +150,7 @@
         Map<String, Object> span = new LinkedHashMap<>();
         span.put("from", time(report.fromMillis()));
         span.put("completeTo", time(report.completeToMillis()));
-        span.put("complete", report.complete());
+        span.put("complete", report.isComplete());
         span.put("recordsLost", report.recordsLost());
         span.put(
                 "missing",
@@ -182,7 +182,7 @@
                         .formatted(
                                 time(report.fromMillis()),
                                 time(report.completeToMillis()),
-                                report.complete() ? "complete" : "NOT complete"));
+                                report.isComplete() ? "complete" : "NOT complete"));
         if (report.recordsLost()) {
             lines.add("records expired before a roll-up covered them; earlier counts are lost");
         }
--- a/core/src/main/java/org/tamaracktrack/core/report/CounterName.java
+++ b/core/src/main/java/org/tamaracktrack/core/report/CounterName.java
@@ -12,23 +12,23 @@
 import org.tamaracktrack.core.id.RequestClassId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** The name of a counter in {@code CountersPublished}. Names are built and read only here. */
+/** The name of a counter in {@code CountersPublished}. Names are formatted and parsed only here. */
 public sealed interface CounterName {
 
     /**
-     * Returns the name as text. Identifiers can't hold the separator.
+     * Returns the name as text: its parts joined by {@code |}, which identifiers can't contain.
      *
      * @return the text
      */
     String text();
 
     /**
-     * Requests by what became of them.
+     * The number of requests with a given outcome.
      *
      * @param account the client account
-     * @param destination the model or the plain service asked for
+     * @param destination the requested model or plain service
      * @param requestClass the request class
-     * @param outcome what became of them
+     * @param outcome the outcome
      */
     record Requests(
             ClientAccountId account,
@@ -57,14 +57,14 @@
         }
     }
 
-    /** Tokens read or generated. */
+    /** The kinds of token: read from the prompt or generated as the answer. */
     enum TokenKind {
         PROMPT,
         ANSWER
     }
 
     /**
-     * Tokens.
+     * The number of tokens read or generated.
      *
      * @param account the client account
      * @param model the model
@@ -96,11 +96,11 @@
     }
 
     /**
-     * Moves.
+     * The number of moves at a target.
      *
      * @param target the target
      * @param kind the kind of order
-     * @param cause why
+     * @param cause the reason for the move
      */
     record Moves(TargetId target, MoveKind kind, MoveCause cause) implements CounterName {
 
@@ -118,10 +118,10 @@
     }
 
     /**
-     * Reads a name.
+     * Parses a name.
      *
      * @param text the text
-     * @return the name; empty for one that this version does not know
+     * @return the name; empty for a name that this release does not know
      */
     static Optional<CounterName> parse(String text) {
         Objects.requireNonNull(text, "text is null");
@@ -133,7 +133,7 @@
                 case "moves" -> moves(parts);
                 default -> Optional.empty();
             };
-        } catch (TamaracktrackException badIdentifier) {
+        } catch (TamaracktrackException invalidIdentifier) {
             return Optional.empty();
         }
     }
--- a/core/src/main/java/org/tamaracktrack/core/report/MoveCause.java
+++ b/core/src/main/java/org/tamaracktrack/core/report/MoveCause.java
@@ -4,21 +4,21 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Why a move was made. */
+/** The reason for a move. */
 public enum MoveCause {
-    /** The model had no copy planned anywhere. */
+    /** No copy of the model was planned on any target. */
     HOME,
-    /** Demand asked for a further copy, or for the room that one takes. */
+    /** Demand required a further copy, or the memory that one needs. */
     DEMAND,
     /** The target that held the copy was lost or is leaving. */
     RECOVERY,
-    /** A waiting request needed it and no plan provided it. */
+    /** A waiting request needed the model or adapter and no plan provided it. */
     REQUEST,
-    /** A configuration asks for another version. */
+    /** The configuration requires another version. */
     VERSION;
 
     /**
-     * Returns the cause as it stands in counter names and plans.
+     * Returns the cause as it is written in counter names and plans.
      *
      * @return the text
      */
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Returns the cause with a text.
+     * Returns the cause that is written as a text.
      *
      * @param text the text
-     * @return the cause, if there is one
+     * @return the cause; empty if the text is none of the causes
      */
     public static Optional<MoveCause> of(String text) {
         return Arrays.stream(values()).filter(cause -> cause.text().equals(text)).findFirst();
--- a/core/src/main/java/org/tamaracktrack/core/report/MoveKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/report/MoveKind.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The kinds of order that count as a move. */
+/** The kinds of engine order that are counted as moves. */
 public enum MoveKind {
     LOAD_MODEL,
     UNLOAD_MODEL,
@@ -13,7 +13,7 @@
     SET_ROLE;
 
     /**
-     * Returns the kind as it stands in counter names and engine orders.
+     * Returns the kind as it is written in counter names and engine orders.
      *
      * @return the text
      */
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Returns the kind with a text.
+     * Returns the kind that is written as a text.
      *
      * @param text the text
-     * @return the kind, if there is one
+     * @return the kind; empty if the text is none of the kinds
      */
     public static Optional<MoveKind> of(String text) {
         return Arrays.stream(values()).filter(kind -> kind.text().equals(text)).findFirst();
--- a/core/src/main/java/org/tamaracktrack/core/report/Report.java
+++ b/core/src/main/java/org/tamaracktrack/core/report/Report.java
@@ -6,22 +6,22 @@
 import org.tamaracktrack.core.id.IncarnationId;
 
 /**
- * Who got what, and for which span that is known.
+ * The summed counters of all processes, and the time span for which they are complete.
  *
  * @param counters the sums by counter name
- * @param fromMillis the start of the span
- * @param completeToMillis every process that is not missing has reported up to this time, by the
- *     processes' clocks; empty when none ever reported
+ * @param fromMillis the start of the span, in milliseconds since 1970
+ * @param completeToMillis the time up to which every process that is not missing has reported, by
+ *     the processes' clocks; empty when none ever reported
  * @param recordsLost whether records expired before any snapshot covered them, so that processes
  *     that ended before the span are not in the sums
- * @param missing processes whose last counters are not known
+ * @param missing the processes whose final counters are not known
  */
 public record Report(
         Map<String, Long> counters,
         long fromMillis,
         OptionalLong completeToMillis,
         boolean recordsLost,
-        List<Missing> missing) {
+        List<MissingProcess> missing) {
 
     /** Copies the collections. */
     public Report {
@@ -30,21 +30,21 @@
     }
 
     /**
-     * A process that stopped reporting without a last record: what it counted after its last known
-     * record is not in the sums.
+     * A process that stopped reporting without a final record: the sums lack what it counted after
+     * its last known record.
      *
      * @param incarnation the process
-     * @param lastTakenMillis up to when its counters are known; empty when a snapshot no longer
-     *     says
+     * @param lastTakenMillis the time of its last known counters; empty when a snapshot no longer
+     *     includes it
      */
-    public record Missing(IncarnationId incarnation, OptionalLong lastTakenMillis) {}
+    public record MissingProcess(IncarnationId incarnation, OptionalLong lastTakenMillis) {}
 
     /**
-     * Returns whether the sums leave nothing out of the span.
+     * Returns whether the sums include everything that was counted in the span.
      *
-     * @return true when nothing is missing
+     * @return true when no records were lost and no process is missing
      */
-    public boolean complete() {
+    public boolean isComplete() {
         return !recordsLost && missing.isEmpty();
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/report/ReportRollUp.java
+++ b/core/src/main/java/org/tamaracktrack/core/report/ReportRollUp.java
@@ -16,60 +16,65 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * Sums the counter records of every process, in offset order.
+ * Sums the counter records of all processes, read in offset order.
  *
- * <p>Counters are cumulative, so of one process only the record with the highest sequence counts.
- * When a process ends, its counters move into one sum, and a marker without counters stays for a
- * day.
+ * <p>Counters are cumulative, so only the record with the highest sequence of each process is used.
+ * When a process ends, its counters are added to one common sum, and a marker without counters is
+ * kept for a day, so that a record that arrives late is not added again.
  */
 public final class ReportRollUp {
-    /** A process is missing when it was silent this long while others reported. */
-    public static final long DEFAULT_SILENT_MILLIS = 180_000;
+    /** A process counts as missing after this time without a report while others reported. */
+    public static final long DEFAULT_MISSING_AFTER_MILLIS = 180_000;
 
-    private static final long FORGET_MILLIS = 86_400_000;
+    private static final long PROCESS_RETENTION_MILLIS = 86_400_000;
 
-    /** Time without any record counts as this much at most: the log may have been out. */
-    private static final long LONGEST_STEP_MILLIS = 10_000;
+    /**
+     * Limits how much a gap between two records counts, since the log may have been unavailable.
+     */
+    private static final long MAXIMUM_STEP_MILLIS = 10_000;
 
-    private final long silentMillis;
-    private final Map<IncarnationId, Held> held = new HashMap<>();
-    private final Map<String, Long> ended = new TreeMap<>();
-    private final TreeSet<IncarnationId> missingForGood = new TreeSet<>();
-    private Optional<Long> gapFrom = Optional.empty();
+    private final long missingAfterMillis;
+    private final Map<IncarnationId, ProcessCounters> countersByProcess = new HashMap<>();
+    private final Map<String, Long> endedSums = new TreeMap<>();
+    private final TreeSet<IncarnationId> permanentlyMissing = new TreeSet<>();
+    private Optional<Long> firstOffsetAfterGap = Optional.empty();
     private boolean recordsLost;
     private OptionalLong fromMillis = OptionalLong.empty();
     private OptionalLong lastAppendedMillis = OptionalLong.empty();
     private long nextOffset;
     private long activeMillis;
 
-    /** The best record of one process. */
-    private record Held(CountersPublished best, long firstOffset, long seenActiveMillis) {}
+    /** The newest record of one process, by sequence. */
+    private record ProcessCounters(
+            CountersPublished newest, long firstOffset, long updatedAtActiveMillis) {}
 
-    private ReportRollUp(long silentMillis) {
-        this.silentMillis = silentMillis;
+    private ReportRollUp(long missingAfterMillis) {
+        this.missingAfterMillis = missingAfterMillis;
     }
 
     /**
-     * Returns a roll-up that has seen nothing.
+     * Returns a roll-up that has not read any record yet.
      *
-     * @param silentMillis a process is missing when it was silent this long while others reported
+     * @param missingAfterMillis the time without a report, while others reported, after which a
+     *     process counts as missing
      * @return the roll-up
      */
-    public static ReportRollUp empty(long silentMillis) {
-        return new ReportRollUp(silentMillis);
+    public static ReportRollUp empty(long missingAfterMillis) {
+        return new ReportRollUp(missingAfterMillis);
     }
 
     /**
-     * Records from the next offset on have expired: sums need a snapshot from now on.
+     * Handles the expiry of unread records. The sums are incomplete until a snapshot covers the
+     * expired records.
      *
-     * @param firstOffset the oldest record there still is
+     * @param firstOffset the offset of the oldest record that the log still has
      */
-    public void onGap(long firstOffset) {
-        gapFrom = Optional.of(firstOffset);
+    public void handleGap(long firstOffset) {
+        firstOffsetAfterGap = Optional.of(firstOffset);
     }
 
     /**
-     * Takes the next record of the reports stream in.
+     * Processes the next record of the reports stream.
      *
      * @param record the record
      */
@@ -78,11 +83,11 @@
         advance(record.appendedAtMillis());
         nextOffset = record.offset() + 1;
         if (record.entry() instanceof CountersPublished counters) {
-            count(counters, record.offset());
+            addCounters(counters, record.offset());
         } else if (record.entry() instanceof ReportSnapshot snapshot) {
             restore(snapshot);
         }
-        forget();
+        expireProcesses();
     }
 
     private void advance(long appendedAtMillis) {
@@ -90,51 +95,58 @@
             fromMillis = OptionalLong.of(appendedAtMillis);
         }
         long stepMillis = appendedAtMillis - lastAppendedMillis.orElse(appendedAtMillis);
-        activeMillis += Math.max(0, Math.min(stepMillis, LONGEST_STEP_MILLIS));
+        activeMillis += Math.max(0, Math.min(stepMillis, MAXIMUM_STEP_MILLIS));
         lastAppendedMillis = OptionalLong.of(appendedAtMillis);
     }
 
-    // An append may be written twice, or reach the log after a later one. Added up, a request would
-    // count twice; but the counters are cumulative, so keeping the highest sequence only is exact.
-    // Nothing counts after a process's last record: its counters are in the sum already.
-    private void count(CountersPublished counters, long offset) {
-        Held before = held.get(counters.incarnation());
-        if (before == null && gapFrom.isEmpty() && !recordsLost) {
+    // An append may be written twice, or reach the log after a later one. Adding records up would
+    // count requests twice; since counters are cumulative, keeping only the highest sequence is
+    // exact. Records after a process's final record are ignored: its counters are already summed.
+    private void addCounters(CountersPublished counters, long offset) {
+        ProcessCounters current = countersByProcess.get(counters.incarnation());
+        if (current == null && firstOffsetAfterGap.isEmpty() && !recordsLost) {
             fromMillis =
                     OptionalLong.of(
                             Math.min(
                                     fromMillis.orElse(Long.MAX_VALUE), counters.startedAtMillis()));
         }
-        if (before == null) {
-            held.put(counters.incarnation(), new Held(counters, offset, activeMillis));
-        } else if (counts(before.best(), counters)) {
-            held.put(
-                    counters.incarnation(), new Held(counters, before.firstOffset(), activeMillis));
+        if (current == null) {
+            countersByProcess.put(
+                    counters.incarnation(), new ProcessCounters(counters, offset, activeMillis));
+        } else if (supersedes(current.newest(), counters)) {
+            countersByProcess.put(
+                    counters.incarnation(),
+                    new ProcessCounters(counters, current.firstOffset(), activeMillis));
         }
-        if (gapFrom.isEmpty()) {
-            endIfLast(counters.incarnation());
+        if (firstOffsetAfterGap.isEmpty()) {
+            foldIfLast(counters.incarnation());
         }
     }
 
-    private static boolean counts(CountersPublished before, CountersPublished after) {
-        return !before.last() && after.sequence() > before.sequence();
+    private static boolean supersedes(CountersPublished current, CountersPublished candidate) {
+        return !current.last() && candidate.sequence() > current.sequence();
     }
 
-    private void endIfLast(IncarnationId incarnation) {
-        Held last = held.get(incarnation);
-        if (last.best().last() && !last.best().counters().isEmpty()) {
-            end(incarnation, last);
+    private void foldIfLast(IncarnationId incarnation) {
+        ProcessCounters process = countersByProcess.get(incarnation);
+        if (process.newest().last() && !process.newest().counters().isEmpty()) {
+            foldIntoEndedSums(incarnation, process);
         }
     }
 
-    private void end(IncarnationId incarnation, Held last) {
-        last.best().counters().forEach((name, value) -> ended.merge(name, value, Long::sum));
-        held.put(
+    private void foldIntoEndedSums(IncarnationId incarnation, ProcessCounters process) {
+        process.newest()
+                .counters()
+                .forEach((name, value) -> endedSums.merge(name, value, Long::sum));
+        countersByProcess.put(
                 incarnation,
-                new Held(marker(last.best()), last.firstOffset(), last.seenActiveMillis()));
+                new ProcessCounters(
+                        markerOf(process.newest()),
+                        process.firstOffset(),
+                        process.updatedAtActiveMillis()));
     }
 
-    private static CountersPublished marker(CountersPublished last) {
+    private static CountersPublished markerOf(CountersPublished last) {
         return new CountersPublished(
                 last.incarnation(),
                 last.source(),
@@ -145,86 +157,99 @@
                 Map.of());
     }
 
-    // A crashed process never sends its last record. Held for good, its counters would pile up; a
-    // day on they join the sum, the process stays named as missing, and the marker keeps a record
-    // that arrives after all from counting twice.
-    private void forget() {
-        if (gapFrom.isPresent()) {
+    // A crashed process never appends a final record, and keeping its counters forever would use
+    // ever more memory. After a day they are added to the common sum, the process stays listed as
+    // missing, and the marker prevents a late record of it from being counted twice.
+    private void expireProcesses() {
+        if (firstOffsetAfterGap.isPresent()) {
             return;
         }
-        List<IncarnationId> old =
-                held.entrySet().stream()
-                        .filter(e -> activeMillis - e.getValue().seenActiveMillis() > FORGET_MILLIS)
+        List<IncarnationId> expired =
+                countersByProcess.entrySet().stream()
+                        .filter(
+                                entry ->
+                                        activeMillis - entry.getValue().updatedAtActiveMillis()
+                                                > PROCESS_RETENTION_MILLIS)
                         .map(Map.Entry::getKey)
                         .toList();
-        old.forEach(this::forget);
+        expired.forEach(this::expireProcess);
     }
 
-    private void forget(IncarnationId incarnation) {
-        Held last = held.get(incarnation);
-        if (last.best().last()) {
-            held.remove(incarnation);
+    private void expireProcess(IncarnationId incarnation) {
+        ProcessCounters process = countersByProcess.get(incarnation);
+        if (process.newest().last()) {
+            countersByProcess.remove(incarnation);
             return;
         }
-        missingForGood.add(incarnation);
-        end(incarnation, new Held(last.best(), last.firstOffset(), activeMillis));
+        permanentlyMissing.add(incarnation);
+        foldIntoEndedSums(
+                incarnation,
+                new ProcessCounters(process.newest(), process.firstOffset(), activeMillis));
     }
 
-    // Only a reader that missed records needs a snapshot; one that leaves records uncovered between
-    // its end and the oldest record read would lose the processes that ended in between.
+    // Only a reader that missed records needs a snapshot. A snapshot that ends before the oldest
+    // record read is not used: the processes that ended in between would be lost.
     private void restore(ReportSnapshot snapshot) {
-        if (gapFrom.isEmpty() || snapshot.upTo() < gapFrom.get()) {
+        if (firstOffsetAfterGap.isEmpty() || snapshot.upTo() < firstOffsetAfterGap.get()) {
             return;
         }
-        Map<IncarnationId, Held> own = new HashMap<>(held);
-        held.clear();
-        ended.clear();
-        ended.putAll(snapshot.ended());
-        missingForGood.clear();
-        missingForGood.addAll(snapshot.missing());
+        Map<IncarnationId, ProcessCounters> ownProcesses = new HashMap<>(countersByProcess);
+        countersByProcess.clear();
+        endedSums.clear();
+        endedSums.putAll(snapshot.ended());
+        permanentlyMissing.clear();
+        permanentlyMissing.addAll(snapshot.missing());
         snapshot.live()
-                .forEach(live -> held.put(live.incarnation(), new Held(live, 0, activeMillis)));
-        own.forEach((incarnation, mine) -> merge(incarnation, mine, snapshot.upTo()));
+                .forEach(
+                        live ->
+                                countersByProcess.put(
+                                        live.incarnation(),
+                                        new ProcessCounters(live, 0, activeMillis)));
+        ownProcesses.forEach(
+                (incarnation, ownCounters) ->
+                        mergeIntoSnapshot(incarnation, ownCounters, snapshot.upTo()));
         fromMillis = OptionalLong.of(snapshot.fromMillis());
-        gapFrom = Optional.empty();
+        firstOffsetAfterGap = Optional.empty();
         recordsLost = false;
-        List.copyOf(held.keySet()).forEach(this::endIfLast);
+        List.copyOf(countersByProcess.keySet()).forEach(this::foldIfLast);
     }
 
-    // Records read before the snapshot's end are in it already; a process that the snapshot does
-    // not
-    // name although it reported by then was summed and forgotten.
-    private void merge(IncarnationId incarnation, Held mine, long upTo) {
-        Held covered = held.get(incarnation);
-        boolean newProcess = covered == null && mine.firstOffset() >= upTo;
-        if (newProcess || covered != null && counts(covered.best(), mine.best())) {
-            held.put(incarnation, mine);
+    // Records before the snapshot's end are included in it. A process that reported by then but is
+    // not in the snapshot has ended, and its counters are in the snapshot's sum.
+    private void mergeIntoSnapshot(
+            IncarnationId incarnation, ProcessCounters ownCounters, long upTo) {
+        ProcessCounters snapshotCounters = countersByProcess.get(incarnation);
+        boolean newProcess = snapshotCounters == null && ownCounters.firstOffset() >= upTo;
+        if (newProcess
+                || snapshotCounters != null
+                        && supersedes(snapshotCounters.newest(), ownCounters.newest())) {
+            countersByProcess.put(incarnation, ownCounters);
         }
     }
 
     /**
-     * Gives up waiting for a snapshot after a gap: the span starts at the oldest record read, and
-     * the report says that records were lost.
+     * Stops waiting for a snapshot after a gap. The span starts at the oldest record read, and the
+     * report states that records were lost.
      */
-    public void startAnew() {
-        if (gapFrom.isPresent()) {
-            gapFrom = Optional.empty();
+    public void continueWithoutSnapshot() {
+        if (firstOffsetAfterGap.isPresent()) {
+            firstOffsetAfterGap = Optional.empty();
             recordsLost = true;
-            List.copyOf(held.keySet()).forEach(this::endIfLast);
+            List.copyOf(countersByProcess.keySet()).forEach(this::foldIfLast);
         }
     }
 
     /**
-     * Returns whether records were missed and no snapshot has made up for them yet.
+     * Returns whether records expired unread and no snapshot that covers them has been read yet.
      *
      * @return true when a snapshot is needed
      */
     public boolean needsSnapshot() {
-        return gapFrom.isPresent();
+        return firstOffsetAfterGap.isPresent();
     }
 
     /**
-     * Returns a snapshot of everything taken in, so that older records may expire.
+     * Returns a snapshot of every record read, so that older records may expire.
      *
      * @return the snapshot; empty while this roll-up itself needs one
      */
@@ -233,76 +258,84 @@
             return Optional.empty();
         }
         List<CountersPublished> live =
-                held.values().stream()
-                        .map(Held::best)
+                countersByProcess.values().stream()
+                        .map(ProcessCounters::newest)
                         .sorted(Comparator.comparing(CountersPublished::incarnation))
                         .toList();
         return Optional.of(
                 new ReportSnapshot(
                         nextOffset,
                         fromMillis.orElse(0),
-                        ended,
+                        endedSums,
                         live,
-                        List.copyOf(missingForGood)));
+                        List.copyOf(permanentlyMissing)));
     }
 
     /**
-     * Returns how many processes are held, those that ended within a day included.
+     * Returns the number of processes kept, including those that ended within a day.
      *
-     * @return how many
+     * @return the number of processes
      */
-    public int processes() {
-        return held.size();
+    public int processCount() {
+        return countersByProcess.size();
     }
 
     /**
-     * Returns the report.
+     * Returns the report on the records read so far.
      *
-     * @param logNowMillis the time by the log's clock
+     * @param logNowMillis the current time by the log's clock, in milliseconds since 1970
      * @return the report
      */
     public Report report(long logNowMillis) {
-        Map<String, Long> sums = new TreeMap<>(ended);
-        held.values().stream()
-                .flatMap(one -> one.best().counters().entrySet().stream())
+        Map<String, Long> sums = new TreeMap<>(endedSums);
+        countersByProcess.values().stream()
+                .flatMap(process -> process.newest().counters().entrySet().stream())
                 .forEach(counter -> sums.merge(counter.getKey(), counter.getValue(), Long::sum));
         return new Report(
                 sums,
                 fromMillis.orElse(0),
-                completeTo(logNowMillis),
+                completeToMillis(logNowMillis),
                 recordsLost || needsSnapshot(),
-                missing(logNowMillis));
+                missingProcesses(logNowMillis));
     }
 
-    private OptionalLong completeTo(long logNowMillis) {
+    private OptionalLong completeToMillis(long logNowMillis) {
         OptionalLong live =
-                held.values().stream()
-                        .filter(one -> !one.best().last() && !silent(one, logNowMillis))
-                        .mapToLong(one -> one.best().takenAtMillis())
+                countersByProcess.values().stream()
+                        .filter(
+                                process ->
+                                        !process.newest().last()
+                                                && !isSilent(process, logNowMillis))
+                        .mapToLong(process -> process.newest().takenAtMillis())
                         .min();
         return live.isPresent()
                 ? live
-                : held.values().stream().mapToLong(one -> one.best().takenAtMillis()).max();
+                : countersByProcess.values().stream()
+                        .mapToLong(process -> process.newest().takenAtMillis())
+                        .max();
     }
 
-    private List<Report.Missing> missing(long logNowMillis) {
-        List<Report.Missing> missing = new ArrayList<>();
-        missingForGood.forEach(
-                incarnation -> missing.add(new Report.Missing(incarnation, OptionalLong.empty())));
-        held.values().stream()
-                .filter(one -> !one.best().last() && silent(one, logNowMillis))
-                .map(Held::best)
+    private List<Report.MissingProcess> missingProcesses(long logNowMillis) {
+        List<Report.MissingProcess> missing = new ArrayList<>();
+        permanentlyMissing.forEach(
+                incarnation ->
+                        missing.add(new Report.MissingProcess(incarnation, OptionalLong.empty())));
+        countersByProcess.values().stream()
+                .filter(process -> !process.newest().last() && isSilent(process, logNowMillis))
+                .map(ProcessCounters::newest)
                 .sorted(Comparator.comparing(CountersPublished::incarnation))
                 .map(
-                        best ->
-                                new Report.Missing(
-                                        best.incarnation(), OptionalLong.of(best.takenAtMillis())))
+                        newest ->
+                                new Report.MissingProcess(
+                                        newest.incarnation(),
+                                        OptionalLong.of(newest.takenAtMillis())))
                 .forEach(missing::add);
         return missing;
     }
 
-    private boolean silent(Held one, long logNowMillis) {
+    private boolean isSilent(ProcessCounters process, long logNowMillis) {
         long sinceLastRecord = Math.max(0, logNowMillis - lastAppendedMillis.orElse(logNowMillis));
-        return activeMillis - one.seenActiveMillis() + sinceLastRecord > silentMillis;
+        return activeMillis - process.updatedAtActiveMillis() + sinceLastRecord
+                > missingAfterMillis;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/report/RequestOutcome.java
+++ b/core/src/main/java/org/tamaracktrack/core/report/RequestOutcome.java
@@ -7,13 +7,13 @@
 import org.tamaracktrack.core.error.ErrorCode;
 
 /**
- * What became of a request.
+ * The outcome of a request, as counted in reports.
  *
- * @param kind what became of it
- * @param code why it was refused; present exactly for {@link Kind#REFUSED}
+ * @param kind the kind of outcome
+ * @param code the reason for a refusal; present only for {@link Kind#REFUSED}
  */
 public record RequestOutcome(Kind kind, Optional<ErrorCode> code) {
-    /** A request arrived; every request is counted so, besides its final outcome. */
+    /** A request arrived. Every request is counted once here and once under its final outcome. */
     public static final RequestOutcome OFFERED = new RequestOutcome(Kind.OFFERED, Optional.empty());
 
     /** Served within the objectives of its class. */
@@ -23,13 +23,13 @@
     /** Served, but later than its class allows. */
     public static final RequestOutcome LATE = new RequestOutcome(Kind.LATE, Optional.empty());
 
-    /** It may or may not have run. */
+    /** The request may or may not have run. */
     public static final RequestOutcome UNKNOWN = new RequestOutcome(Kind.UNKNOWN, Optional.empty());
 
-    /** It ran and failed. */
+    /** The request ran and failed. */
     public static final RequestOutcome FAILED = new RequestOutcome(Kind.FAILED, Optional.empty());
 
-    /** The caller went away. */
+    /** The caller closed the connection before the answer was complete. */
     public static final RequestOutcome CANCELLED =
             new RequestOutcome(Kind.CANCELLED, Optional.empty());
 
@@ -55,7 +55,7 @@
     /**
      * Returns the outcome of a request that did not run.
      *
-     * @param code why
+     * @param code the reason
      * @return the outcome
      */
     public static RequestOutcome refused(ErrorCode code) {
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Returns the outcome as it stands in counter names.
+     * Returns the outcome as it is written in counter names.
      *
      * @return the text, such as {@code in_class} or {@code refused:OVERLOADED}
      */
@@ -73,10 +73,10 @@
     }
 
     /**
-     * Reads an outcome.
+     * Parses an outcome.
      *
      * @param text the text
-     * @return the outcome, if it is one
+     * @return the outcome; empty if the text is not an outcome
      */
     public static Optional<RequestOutcome> of(String text) {
         int separator = text.indexOf(CODE_SEPARATOR);
--- a/core/src/main/java/org/tamaracktrack/core/report/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/report/package-info.java
@@ -1,2 +1,2 @@
-/** Who got what: the names of the counters, and the sum of every process's counter records. */
+/** Usage reports: the names of the counters, and the sums of all processes' counter records. */
 package org.tamaracktrack.core.report;
--- a/core/src/test/java/org/tamaracktrack/core/report/CounterNameTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/report/CounterNameTest.java
@@ -14,14 +14,15 @@
 class CounterNameTest {
 
     @Property(seed = "11")
-    void shouldReadBackWhatItWroteWhenAMove(@ForAll MoveKind kind, @ForAll MoveCause cause) {
+    void shouldParseTheWrittenTextWhenTheCounterIsAMove(
+            @ForAll MoveKind kind, @ForAll MoveCause cause) {
         CounterName name = new CounterName.Moves(TargetId.of("runner-1"), kind, cause);
 
         assertThat(CounterName.parse(name.text())).hasValue(name);
     }
 
     @Property(seed = "12")
-    void shouldReadBackWhatItWroteWhenARefusal(@ForAll ErrorCode code) {
+    void shouldParseTheWrittenTextWhenTheOutcomeIsARefusal(@ForAll ErrorCode code) {
         CounterName name =
                 new CounterName.Requests(
                         ClientAccountId.of("north"),
@@ -33,7 +34,7 @@
     }
 
     @Test
-    void shouldUseTheAgreedTextWhenWritten() {
+    void shouldUseTheDocumentedFormatWhenWritten() {
         CounterName tokens =
                 new CounterName.Tokens(
                         ClientAccountId.of("north"),
@@ -47,7 +48,7 @@
     }
 
     @Test
-    void shouldKnowNothingWhenTheNameIsOfAnotherVersion() {
+    void shouldReturnEmptyWhenTheNameIsOfAnUnknownFormat() {
         assertThat(CounterName.parse("requests|north|approval|batch|refused")).isEmpty();
         assertThat(CounterName.parse("joules|runner-1")).isEmpty();
         assertThat(CounterName.parse("moves|two words|load_model|home")).isEmpty();
--- a/core/src/test/java/org/tamaracktrack/core/report/ReportRollUpTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/report/ReportRollUpTest.java
@@ -19,11 +19,11 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 class ReportRollUpTest {
-    private static final long SILENT_MILLIS = 60_000;
+    private static final long MISSING_AFTER_MILLIS = 60_000;
     private static final String COUNTER = "requests|north|approval|interactive|in_class";
 
     private static ReportRollUp read(List<LogRecord> log) {
-        ReportRollUp rollUp = ReportRollUp.empty(SILENT_MILLIS);
+        ReportRollUp rollUp = ReportRollUp.empty(MISSING_AFTER_MILLIS);
         log.forEach(rollUp::handle);
         return rollUp;
     }
@@ -44,33 +44,35 @@
     @Nested
     class Sums {
 
-        // An operator adds up who got what. Records of three processes at a time are lost, written
-        // twice and written late, the log is out for a while, processes crash and end. Counted from
-        // deltas, a doubled record would show one approval as two.
+        // Guards against usage that is counted twice or left out. Records of up to three concurrent
+        // processes are lost, duplicated and delayed, the log is unavailable at times, and
+        // processes
+        // crash and end. If records held deltas, a duplicate would count one request as two.
         @Property(seed = "21", tries = 300)
-        void shouldEqualWhatTheNewestRecordsSayWhenRecordsAreLostDoubledAndLate(
+        void shouldEqualTheNewestRecordsWhenRecordsAreLostDuplicatedAndDelayed(
                 @ForAll @LongRange(max = 1_000_000) long seed,
                 @ForAll @IntRange(min = 1, max = 150) int steps) {
             ReportScenario scenario = ReportScenario.run(seed, steps);
 
             Report report = read(scenario.log()).report(scenario.nowMillis());
 
-            assertThat(report.counters()).isEqualTo(scenario.knownSums());
+            assertThat(report.counters()).isEqualTo(scenario.expectedSums());
         }
 
-        // A process ends; its last record is written twice because the answer to the first append
-        // was lost. The second copy arrives after a snapshot has folded the process into the sum.
+        // A process ends, and its final record is appended twice because the response to the first
+        // append was lost. The second copy arrives after a snapshot that already includes the
+        // process in its sum.
         @Test
         void shouldNotCountTwiceWhenALastRecordArrivesAgainAfterASnapshot() {
             LogRecord last = LogRecord.of(5, 0, counters("a", 3, 10, true));
             ReportSnapshot snapshot = read(List.of(last)).snapshot().orElseThrow();
-            ReportRollUp newcomer = ReportRollUp.empty(SILENT_MILLIS);
-            newcomer.onGap(6);
-            newcomer.handle(LogRecord.of(6, 0, snapshot));
+            ReportRollUp newReader = ReportRollUp.empty(MISSING_AFTER_MILLIS);
+            newReader.handleGap(6);
+            newReader.handle(LogRecord.of(6, 0, snapshot));
 
-            newcomer.handle(LogRecord.of(7, 0, last.entry()));
+            newReader.handle(LogRecord.of(7, 0, last.entry()));
 
-            assertThat(newcomer.report(0).counters()).containsExactly(COUNTER, 10L);
+            assertThat(newReader.report(0).counters()).containsExactly(COUNTER, 10L);
         }
     }
 
@@ -78,11 +80,12 @@
     @Nested
     class Snapshots {
 
-        // Old records have expired; a report command starts in the middle of the stream. It may
-        // already have read records that the snapshot covers. Added to the snapshot's sums, they
-        // would count twice; left out, requests would be missing without a word.
+        // Old records have expired, so a reader starts in the middle of the stream and may read
+        // records that the snapshot covers before the snapshot itself. Adding them to the
+        // snapshot's sums would count them twice; ignoring uncovered ones would silently lose
+        // requests.
         @Property(seed = "22", tries = 300)
-        void shouldGiveANewcomerTheSumsOfAFullReaderWhenRecordsHaveExpired(
+        void shouldRestoreAllSumsFromASnapshotWhenRecordsHaveExpired(
                 @ForAll @LongRange(max = 1_000_000) long seed,
                 @ForAll @IntRange(min = 20, max = 150) int steps,
                 @ForAll @IntRange(max = 99) int expiredPercent,
@@ -91,68 +94,68 @@
             int expired = scenario.log().size() * expiredPercent / 100;
             int covered = expired + (scenario.log().size() - expired) * coveredPercent / 100;
             List<LogRecord> log = withSnapshot(scenario.log(), covered);
-            ReportRollUp newcomer = ReportRollUp.empty(SILENT_MILLIS);
-            newcomer.onGap(expired);
+            ReportRollUp newReader = ReportRollUp.empty(MISSING_AFTER_MILLIS);
+            newReader.handleGap(expired);
 
-            log.stream().skip(expired).forEach(newcomer::handle);
+            log.stream().skip(expired).forEach(newReader::handle);
 
-            assertThat(newcomer.needsSnapshot()).isFalse();
-            Report report = newcomer.report(scenario.nowMillis());
-            assertThat(report.counters()).isEqualTo(scenario.knownSums());
+            assertThat(newReader.needsSnapshot()).isFalse();
+            Report report = newReader.report(scenario.nowMillis());
+            assertThat(report.counters()).isEqualTo(scenario.expectedSums());
             assertThat(report.recordsLost()).isFalse();
         }
 
         @Property(seed = "23", tries = 200)
-        void shouldLoseNothingWhenASnapshotIsMadeFromASnapshot(
+        void shouldKeepAllSumsWhenASnapshotIsBuiltOnAnother(
                 @ForAll @LongRange(max = 1_000_000) long seed,
                 @ForAll @IntRange(min = 20, max = 120) int steps) {
             ReportScenario scenario = ReportScenario.run(seed, steps);
             int third = scenario.log().size() / 3;
             List<LogRecord> log = scenario.log();
             ReportRollUp first = read(log.subList(0, third));
-            ReportRollUp second = ReportRollUp.empty(SILENT_MILLIS);
-            second.onGap(third);
+            ReportRollUp second = ReportRollUp.empty(MISSING_AFTER_MILLIS);
+            second.handleGap(third);
             second.handle(LogRecord.of(third, 0, first.snapshot().orElseThrow()));
             log.subList(third, 2 * third).forEach(second::handle);
-            ReportRollUp last = ReportRollUp.empty(SILENT_MILLIS);
-            last.onGap(2L * third);
+            ReportRollUp last = ReportRollUp.empty(MISSING_AFTER_MILLIS);
+            last.handleGap(2L * third);
             last.handle(LogRecord.of(2L * third, 0, second.snapshot().orElseThrow()));
 
             log.subList(2 * third, log.size()).forEach(last::handle);
 
             assertThat(last.report(scenario.nowMillis()).counters())
-                    .isEqualTo(scenario.knownSums());
+                    .isEqualTo(scenario.expectedSums());
         }
 
-        // A process ended more than a day before the snapshot, which names it no longer; its last
-        // record has not expired yet and was read. Its counters are in the snapshot's sum.
+        // A process ended more than a day before the snapshot, which no longer lists it. Its final
+        // record has not expired and is read first, but its counters are in the snapshot's sum.
         @Test
-        void shouldNotAddAProcessWhenTheSnapshotHasForgottenIt() {
-            ReportRollUp newcomer = ReportRollUp.empty(SILENT_MILLIS);
-            newcomer.onGap(10);
-            newcomer.handle(LogRecord.of(10, 0, counters("a", 3, 10, true)));
+        void shouldNotCountAProcessTwiceWhenTheSnapshotNoLongerNamesIt() {
+            ReportRollUp newReader = ReportRollUp.empty(MISSING_AFTER_MILLIS);
+            newReader.handleGap(10);
+            newReader.handle(LogRecord.of(10, 0, counters("a", 3, 10, true)));
 
-            newcomer.handle(
+            newReader.handle(
                     LogRecord.of(
                             12,
                             0,
                             new ReportSnapshot(11, 0, Map.of(COUNTER, 10L), List.of(), List.of())));
 
-            assertThat(newcomer.report(0).counters()).containsExactly(COUNTER, 10L);
+            assertThat(newReader.report(0).counters()).containsExactly(COUNTER, 10L);
         }
 
         @Test
-        void shouldSayThatRecordsWereLostWhenTheSnapshotEndsBeforeTheOldestRecord() {
-            ReportRollUp newcomer = ReportRollUp.empty(SILENT_MILLIS);
-            newcomer.onGap(10);
-            newcomer.handle(
+        void shouldReportLostRecordsWhenTheSnapshotEndsBeforeTheOldestRecord() {
+            ReportRollUp newReader = ReportRollUp.empty(MISSING_AFTER_MILLIS);
+            newReader.handleGap(10);
+            newReader.handle(
                     LogRecord.of(10, 0, new ReportSnapshot(9, 0, Map.of(), List.of(), List.of())));
 
-            assertThat(newcomer.needsSnapshot()).isTrue();
-            assertThat(newcomer.report(0).complete()).isFalse();
-            newcomer.startAnew();
-            assertThat(newcomer.snapshot()).isPresent();
-            assertThat(newcomer.report(0).recordsLost()).isTrue();
+            assertThat(newReader.needsSnapshot()).isTrue();
+            assertThat(newReader.report(0).isComplete()).isFalse();
+            newReader.continueWithoutSnapshot();
+            assertThat(newReader.snapshot()).isPresent();
+            assertThat(newReader.report(0).recordsLost()).isTrue();
         }
 
         private List<LogRecord> withSnapshot(List<LogRecord> log, int covered) {
@@ -176,26 +179,28 @@
     @Nested
     class MissingProcesses {
 
-        // A process crashes between two records. What it served since the last one is not in the
-        // sums, so the report must name it; a process that ended in good order must not be named.
+        // A process crashes between two records. The sums lack what it served after the last one,
+        // so
+        // the report must list it as missing. A process that ended with a final record is not
+        // missing. Processes that still run are listed too, as they are silent for too long here.
         @Property(seed = "24", tries = 200)
-        void shouldNameExactlyTheCrashedWhenLongSilent(
+        void shouldReportCrashedProcessesAsMissingWhenTheyStaySilent(
                 @ForAll @LongRange(max = 1_000_000) long seed,
                 @ForAll @IntRange(min = 1, max = 100) int steps) {
             ReportScenario scenario = ReportScenario.run(seed, steps);
             ReportRollUp rollUp = read(scenario.log());
-            long laterMillis = scenario.nowMillis() + 2 * SILENT_MILLIS;
+            long laterMillis = scenario.nowMillis() + 2 * MISSING_AFTER_MILLIS;
 
-            List<IncarnationId> named =
+            List<IncarnationId> reportedMissing =
                     rollUp.report(laterMillis).missing().stream()
-                            .map(Report.Missing::incarnation)
+                            .map(Report.MissingProcess::incarnation)
                             .toList();
 
-            assertThat(named).containsAtLeastElementsIn(scenario.crashed());
+            assertThat(reportedMissing).containsAtLeastElementsIn(scenario.crashedProcesses());
         }
 
         @Test
-        void shouldNotNameAProcessWhenOnlyTheLogWasOut() {
+        void shouldReportNoMissingProcessWhenOnlyTheLogWasUnavailable() {
             ReportRollUp rollUp =
                     read(
                             List.of(
@@ -209,11 +214,11 @@
         }
 
         @Test
-        void shouldNameAndCountOnceWhenACrashedProcessIsForgottenAndComesBack() {
+        void shouldReportMissingAndCountOnceWhenAnExpiredProcessReportsAgain() {
             List<LogRecord> log = new ArrayList<>();
             log.add(LogRecord.of(0, 0, counters("a", 0, 7, false)));
-            for (int hour = 1; hour <= 10_000; hour++) {
-                log.add(LogRecord.of(hour, hour * 10_000L, counters("b", hour, 1, false)));
+            for (int offset = 1; offset <= 10_000; offset++) {
+                log.add(LogRecord.of(offset, offset * 10_000L, counters("b", offset, 1, false)));
             }
             log.add(LogRecord.of(10_001, 100_000_000, counters("a", 1, 9, false)));
 
@@ -223,13 +228,13 @@
             assertThat(
                             new TreeSet<>(
                                     report.missing().stream()
-                                            .map(Report.Missing::incarnation)
+                                            .map(Report.MissingProcess::incarnation)
                                             .toList()))
                     .containsExactly(IncarnationId.of("a"));
         }
 
         @Test
-        void shouldBeCompleteToTheOldestNewestRecordWhenAllReport() {
+        void shouldBeCompleteUpToTheEarliestOfTheNewestRecordsWhenAllReport() {
             ReportRollUp rollUp =
                     read(
                             List.of(
@@ -239,7 +244,7 @@
             Report report = rollUp.report(0);
 
             assertThat(report.completeToMillis().getAsLong()).isEqualTo(5_000);
-            assertThat(report.complete()).isTrue();
+            assertThat(report.isComplete()).isTrue();
         }
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/report/ReportScenario.java
+++ b/core/src/test/java/org/tamaracktrack/core/report/ReportScenario.java
@@ -11,7 +11,9 @@
 import org.tamaracktrack.core.log.LogEntry.CountersPublished;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** Processes that count, and a log that loses, doubles and delays their records. */
+/**
+ * Simulates processes that publish counters and a log that loses, duplicates and delays records.
+ */
 final class ReportScenario {
     private static final String COUNTER = "requests|north|approval|interactive|in_class";
     private static final long STEP_MILLIS = 1_000;
@@ -20,10 +22,10 @@
     private final List<LogRecord> log = new ArrayList<>();
     private final List<CountersPublished> delayed = new ArrayList<>();
     private final Map<IncarnationId, Process> running = new TreeMap<>();
-    private final Map<IncarnationId, CountersPublished> best = new HashMap<>();
-    private final TreeSet<IncarnationId> crashed = new TreeSet<>();
+    private final Map<IncarnationId, CountersPublished> newestByProcess = new HashMap<>();
+    private final TreeSet<IncarnationId> crashedProcesses = new TreeSet<>();
     private long nowMillis = 1_000_000;
-    private int started;
+    private int startedProcesses;
 
     private static final class Process {
         private final IncarnationId incarnation;
@@ -46,14 +48,14 @@
         for (int step = 0; step < steps; step++) {
             scenario.step(step % 20 > 16);
         }
-        scenario.settle();
+        scenario.finish();
         return scenario;
     }
 
     private void step(boolean outage) {
         nowMillis += STEP_MILLIS;
         if (running.size() < 3) {
-            IncarnationId incarnation = IncarnationId.of("process-" + started++);
+            IncarnationId incarnation = IncarnationId.of("process-" + startedProcesses++);
             running.put(incarnation, new Process(incarnation, nowMillis));
         }
         List.copyOf(running.values()).forEach(process -> step(process, outage));
@@ -64,19 +66,19 @@
 
     private void step(Process process, boolean outage) {
         process.count += random.nextInt(5);
-        int fate = random.nextInt(40);
-        if (fate == 0) {
+        int choice = random.nextInt(40);
+        if (choice == 0) {
             running.remove(process.incarnation);
-            crashed.add(process.incarnation);
-        } else if (fate == 1 && !outage) {
+            crashedProcesses.add(process.incarnation);
+        } else if (choice == 1 && !outage) {
             running.remove(process.incarnation);
-            publish(take(process, true), false, random.nextInt(2));
+            publish(countersRecord(process, true), false, random.nextInt(2));
         } else {
-            publish(take(process, false), outage, random.nextInt(6));
+            publish(countersRecord(process, false), outage, random.nextInt(6));
         }
     }
 
-    private CountersPublished take(Process process, boolean last) {
+    private CountersPublished countersRecord(Process process, boolean last) {
         return new CountersPublished(
                 process.incarnation,
                 "entry",
@@ -87,33 +89,34 @@
                 Map.of(COUNTER, process.count));
     }
 
-    private void publish(CountersPublished counters, boolean lost, int fate) {
-        if (lost || fate == 5) {
+    private void publish(CountersPublished counters, boolean lost, int choice) {
+        if (lost || choice == 5) {
             return;
         }
-        if (fate == 4) {
+        if (choice == 4) {
             delayed.add(counters);
             return;
         }
         append(counters);
-        if (fate == 1) {
+        if (choice == 1) {
             delayed.add(counters);
         }
     }
 
     private void append(CountersPublished counters) {
         log.add(LogRecord.of(log.size(), nowMillis, counters));
-        best.merge(
+        newestByProcess.merge(
                 counters.incarnation(),
                 counters,
-                (old, now) -> now.sequence() > old.sequence() ? now : old);
+                (current, candidate) ->
+                        candidate.sequence() > current.sequence() ? candidate : current);
     }
 
-    /** Every process that runs reports once more, and late records arrive. */
-    private void settle() {
-        running.values().forEach(process -> append(take(process, false)));
+    /** Lets every running process report again and delivers all delayed records. */
+    private void finish() {
+        running.values().forEach(process -> append(countersRecord(process, false)));
         delayed.forEach(this::append);
-        running.values().forEach(process -> append(take(process, false)));
+        running.values().forEach(process -> append(countersRecord(process, false)));
     }
 
     List<LogRecord> log() {
@@ -124,14 +127,19 @@
         return nowMillis;
     }
 
-    /** What the log can know: of each process, what its newest written record says. */
-    Map<String, Long> knownSums() {
-        long sum = best.values().stream().mapToLong(one -> one.counters().get(COUNTER)).sum();
-        return best.isEmpty() ? Map.of() : Map.of(COUNTER, sum);
+    /**
+     * Returns the sums that the log allows: the newest appended record of each process, added up.
+     */
+    Map<String, Long> expectedSums() {
+        long sum =
+                newestByProcess.values().stream()
+                        .mapToLong(counters -> counters.counters().get(COUNTER))
+                        .sum();
+        return newestByProcess.isEmpty() ? Map.of() : Map.of(COUNTER, sum);
     }
 
-    /** Processes that crashed after the log had heard of them. */
-    List<IncarnationId> crashed() {
-        return crashed.stream().filter(best::containsKey).toList();
+    /** Returns the crashed processes that have at least one record in the log. */
+    List<IncarnationId> crashedProcesses() {
+        return crashedProcesses.stream().filter(newestByProcess::containsKey).toList();
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/ReporterDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/ReporterDuty.java
@@ -69,12 +69,12 @@
         if (!follower.caughtUp()) {
             return;
         }
-        rollUp.startAnew();
+        rollUp.continueWithoutSnapshot();
         long ageMillis = ControlThread.nowMillis() - reportsWrittenAtMillis;
         long enough =
                 Math.max(
                         LEAST_RECORDS_PER_SNAPSHOT,
-                        (long) RECORDS_PER_PROCESS * rollUp.processes());
+                        (long) RECORDS_PER_PROCESS * rollUp.processCount());
         boolean due =
                 recordsSinceSnapshot >= enough
                         || recordsSinceSnapshot > 0 && ageMillis >= snapshotMillis();
@@ -103,7 +103,7 @@
 
         @Override
         public void onGap(long firstOffset) {
-            rollUp.onGap(firstOffset);
+            rollUp.handleGap(firstOffset);
         }
     }
 
