--- a/core/src/main/java/org/tamaracktrack/core/log/LogEntry.java
+++ b/core/src/main/java/org/tamaracktrack/core/log/LogEntry.java
@@ -18,7 +18,7 @@
 import org.tamaracktrack.core.id.PublicationId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** What a record in the log says. */
+/** The content of a record in the log, encoded as JSON by its component names. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = LogEntry.Publication.class, name = "publication"),
@@ -41,10 +41,10 @@
      * An operator's attempt to put a configuration in force. It is accepted when {@code basedOn} is
      * the version in force at its offset; its offset is then the version.
      *
-     * @param publication the attempt; seen twice, the second is ignored
-     * @param basedOn the version it was written against, -1 for the first
+     * @param publication the identifier of the attempt; a second record with it is ignored
+     * @param basedOn the version it replaces, or -1 for the first
      * @param document the document as canonical JSON
-     * @param operator who published
+     * @param operator the operator who published it
      * @param note the operator's note
      */
     record Publication(
@@ -65,7 +65,8 @@
      * @param upTo the first offset that it does not cover
      * @param version the version in force
      * @param document the document in force
-     * @param recentPublications publications seen of late, so that a retried append stays ignored
+     * @param recentPublications the most recent publications, so that a retried append of one of
+     *     them is still ignored
      */
     record ConfigurationSnapshot(
             long upTo, long version, String document, List<PublicationId> recentPublications)
@@ -79,15 +80,16 @@
     }
 
     /**
-     * A target daemon takes its target. The offset is the fencing number of its orders; of two
-     * records for a target, the later one holds. Repeated well before it expires.
+     * A target daemon takes ownership of its target. The record's offset is the fencing number of
+     * the daemon's orders. The latest record for a target defines its owner. The owner appends it
+     * again well before it expires.
      *
      * @param target the target
      * @param owner the daemon's incarnation
-     * @param host its host
-     * @param dataCentre its data centre
-     * @param address where entry daemons reach it, IP number and port
-     * @param startedAtMillis when the daemon started, by the clock of its host
+     * @param host the daemon's host
+     * @param dataCentre the daemon's data centre
+     * @param address the IP address and port at which entry daemons reach the daemon
+     * @param startedAtMillis the time at which the daemon started, by the clock of its host
      */
     record OwnershipTaken(
             TargetId target,
@@ -99,17 +101,17 @@
             implements LogEntry {}
 
     /**
-     * An order is about to be sent to an engine that ignores fencing numbers. A successor keeps the
-     * memory reserved until the outcome is seen or the order has expired.
+     * An order is about to be sent to an engine that ignores fencing numbers. A later owner keeps
+     * the memory reserved until the order's outcome is known or the order has expired.
      *
      * @param target the target
      * @param fencing the owner's fencing number
      * @param order the order
-     * @param accelerator where the memory is
+     * @param accelerator the accelerator whose memory it uses
      * @param model the model concerned
-     * @param reservedMebibytes how much memory it may take
-     * @param issuedAtMillis when it was issued, by the clock of the target's host
-     * @param lifetimeMillis the engine ignores the order when this has passed since it was issued
+     * @param reservedMebibytes the memory that it may use
+     * @param issuedAtMillis the time at which it was issued, by the clock of the target's host
+     * @param lifetimeMillis the time after which the engine ignores the order, from its issue
      */
     record OrderIntent(
             TargetId target,
@@ -123,7 +125,7 @@
             implements LogEntry {}
 
     /**
-     * The outcome of an order was seen in the engine's inventory.
+     * The outcome of an order was read from the engine's inventory.
      *
      * @param target the target
      * @param order the order
@@ -131,29 +133,30 @@
     record OrderSettled(TargetId target, OrderId order) implements LogEntry {}
 
     /**
-     * An operator asks a target to leave, or takes the request back.
+     * An operator requests that a target be drained, or withdraws that request.
      *
      * @param target the target
-     * @param leaving whether to leave
-     * @param operator who asks
+     * @param leaving true to drain, false to withdraw the request
+     * @param operator the operator
      */
     record DrainRequested(TargetId target, boolean leaving, String operator) implements LogEntry {}
 
     /**
-     * A process asks for a duty, or renews it. It is granted when no lease of another holder is in
-     * force at the record's time by the log's clock; the offset of the grant is the term's number.
+     * A process requests the lease of a duty, or renews it. The lease is granted when no lease of
+     * another holder is in force at the record's append time by the log's clock. The offset of the
+     * grant is the number of the term.
      *
      * @param duty the duty: {@code planner} or {@code reporter}
      * @param holder the process
-     * @param durationMillis how long the grant holds
-     * @param renews the term that this record renews, -1 for a new claim. A reader whose stream
-     *     begins after the grant expired learns the term from it.
+     * @param durationMillis the duration of the lease from the record's append time
+     * @param renews the term that this record renews, or -1 for a new request. A reader that starts
+     *     after the record of the grant has expired gets the term from it.
      */
     record LeaseTaken(String duty, IncarnationId holder, long durationMillis, long renews)
             implements LogEntry {}
 
     /**
-     * The holder gives the duty up before the lease ends.
+     * The holder releases the lease of a duty before it ends.
      *
      * @param duty the duty
      * @param holder the process
@@ -161,12 +164,12 @@
     record LeaseReleased(String duty, IncarnationId holder) implements LogEntry {}
 
     /**
-     * A placement plan. It holds when its term is that of the lease in force at its offset.
+     * A placement plan. It is valid when its term is that of the lease in force at its offset.
      *
-     * @param holder the planner
-     * @param term the offset of the holder's first grant
-     * @param configurationVersion the configuration it was made for
-     * @param placements which model is to be resident where
+     * @param holder the holder of the planner lease
+     * @param term the offset of the record that first granted the lease
+     * @param configurationVersion the version of the configuration that it is based on
+     * @param placements the planned copies
      */
     record PlanPublished(
             IncarnationId holder, long term, long configurationVersion, List<Placement> placements)
@@ -179,12 +182,12 @@
     }
 
     /**
-     * One planned copy.
+     * A planned copy of a model.
      *
      * @param model the model
-     * @param target where it is to be resident
-     * @param adapters the adapters that are to be resident with it
-     * @param cause why it was placed: {@code home}, {@code demand} or {@code recovery}
+     * @param target the target on which the copy is to be resident
+     * @param adapters the adapters to be resident with it
+     * @param cause the reason for the placement: {@code home}, {@code demand} or {@code recovery}
      */
     record Placement(ModelId model, TargetId target, List<AdapterId> adapters, String cause) {
 
@@ -197,7 +200,7 @@
     }
 
     /**
-     * Claims of idempotency keys, committed as a group.
+     * Claims of idempotency keys, appended as one batch.
      *
      * @param owner the entry daemon
      * @param claims the claims
@@ -211,17 +214,17 @@
     }
 
     /**
-     * One claim; the first for a key wins.
+     * A claim of an idempotency key. The first claim of a key takes effect.
      *
-     * @param account whose key it is
+     * @param account the client account that the key belongs to
      * @param keyHash the hash of the key
-     * @param requestHash the hash of method, path and body
-     * @param claim the claim's number within its owner
+     * @param requestHash the hash of the request's method, path and body
+     * @param claim the claim's number, unique within its owner
      */
     record Claim(ClientAccountId account, String keyHash, String requestHash, long claim) {}
 
     /**
-     * Outcomes of claimed requests: {@code NO} frees the key.
+     * Outcomes of claimed requests. {@code NO} releases the key.
      *
      * @param owner the entry daemon
      * @param settled the outcomes
@@ -237,21 +240,21 @@
     /**
      * The outcome of one claim.
      *
-     * @param claim the claim's number within its owner
+     * @param claim the claim's number, unique within its owner
      * @param ran whether the request ran
      */
     record ClaimOutcome(long claim, Ran ran) {}
 
     /**
-     * The counters of one process since it started. Cumulative, so that a lost or doubled record
-     * changes nothing: of one incarnation the highest sequence counts.
+     * The counters of one process since its start. They are cumulative, and only the record with
+     * the highest sequence of an incarnation is used, so a lost or duplicated record does no harm.
      *
      * @param incarnation the process
-     * @param source what it is: {@code entry} or the target's name
-     * @param sequence grows with each record
-     * @param startedAtMillis when the process started, by its clock
-     * @param takenAtMillis when the counters were read, by its clock
-     * @param last whether the process ended with this record
+     * @param source {@code entry} for an entry daemon, or the target's name
+     * @param sequence increases with each record
+     * @param startedAtMillis the time at which the process started, by its clock
+     * @param takenAtMillis the time at which the counters were read, by its clock
+     * @param last whether this is the process's final record
      * @param counters the counters by name
      */
     record CountersPublished(
@@ -274,10 +277,11 @@
      * The roll-up of every counter record before an offset, so that older records may expire.
      *
      * @param upTo the first offset that it does not cover
-     * @param fromMillis the start of the span that it covers
-     * @param ended the sum over processes that ended, and those given up as missing
-     * @param live the last record of each process that had not ended
-     * @param missing processes that ended without a last record
+     * @param fromMillis the start of the time span that it covers
+     * @param ended the sums over processes that ended or expired as missing
+     * @param live the newest record of each process that is still kept; without counters for one
+     *     that is included in {@code ended}
+     * @param missing processes that expired without a final record
      */
     record ReportSnapshot(
             long upTo,
--- a/core/src/main/java/org/tamaracktrack/core/log/LogRecord.java
+++ b/core/src/main/java/org/tamaracktrack/core/log/LogRecord.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * A record as read from the log.
+ * A record read from the log.
  *
  * @param offset its offset within its stream
- * @param appendedAtMillis when the log service took it, by the service's clock, in milliseconds
- *     since 1970
- * @param entry what was written
+ * @param appendedAtMillis the time at which the log service appended it, by the service's clock, in
+ *     milliseconds since 1970
+ * @param entry the content of the record
  */
 public record LogRecord(long offset, long appendedAtMillis, LogEntry entry) {
 
@@ -20,9 +20,10 @@
     /**
      * Returns a record.
      *
-     * @param offset its offset
-     * @param appendedAtMillis when the log took it
-     * @param entry what was written
+     * @param offset its offset within its stream
+     * @param appendedAtMillis the time at which the log service appended it, in milliseconds since
+     *     1970
+     * @param entry the content of the record
      * @return the record
      */
     public static LogRecord of(long offset, long appendedAtMillis, LogEntry entry) {
--- a/core/src/main/java/org/tamaracktrack/core/log/LogStream.java
+++ b/core/src/main/java/org/tamaracktrack/core/log/LogStream.java
@@ -1,8 +1,8 @@
 package org.tamaracktrack.core.log;
 
-/** The streams of the log that the system uses. Each has offsets of its own, from 0. */
+/** The streams of the log that the system uses. Offsets are counted per stream, from 0. */
 public enum LogStream {
-    /** Publications and snapshots of configuration. */
+    /** Publications and snapshots of the configuration. */
     CONFIGURATION("configuration"),
     /** Ownership of targets, orders in flight and drain requests. */
     OWNERSHIP("ownership"),
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Returns the name of the stream at the log service.
+     * Returns the name of the stream in paths of the log service.
      *
      * @return the name
      */
--- a/core/src/main/java/org/tamaracktrack/core/log/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/log/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The records that the system keeps in the platform's append-only log. The offset of a record is
- * its order, its version and, for an ownership record, the fencing number.
+ * The records that the system stores in the platform's append-only log. The offset of a record
+ * defines its order and serves as the version of a publication, the fencing number of an ownership
+ * record and the term of a lease.
  */
 package org.tamaracktrack.core.log;
