--- a/core/src/main/java/org/tamaracktrack/core/message/Message.java
+++ b/core/src/main/java/org/tamaracktrack/core/message/Message.java
@@ -17,7 +17,7 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.log.LogEntry;
 
-/** A message between two daemons. */
+/** A message between two daemons, encoded in MessagePack by its component names. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Message.Hello.class, name = "hello"),
@@ -42,12 +42,12 @@
 public sealed interface Message {
 
     /**
-     * The first message each way after the connection is authenticated.
+     * The first message in each direction after the connection is authenticated.
      *
-     * @param incarnation the sender
+     * @param incarnation the sending process
      * @param role {@code entry} or {@code target}
-     * @param target the target, for a target daemon
-     * @param configurationVersion the configuration in force at the sender, or -1
+     * @param target the target; present only if the sender is a target daemon
+     * @param configurationVersion the version in force at the sender, or -1 if there is none
      */
     record Hello(
             IncarnationId incarnation,
@@ -57,10 +57,10 @@
             implements Message {}
 
     /**
-     * What kind of call a request is.
+     * The kind of call that a request makes.
      *
-     * <p>A model call goes to the engine's OpenAI-style paths; a service call is passed on as it
-     * is.
+     * <p>A model call goes to the engine's OpenAI-compatible paths; a service call is forwarded
+     * unchanged.
      */
     enum CallKind {
         MODEL,
@@ -68,24 +68,26 @@
     }
 
     /**
-     * Entry to target: run this attempt.
+     * Entry to target: execute this attempt.
      *
      * @param attempt the attempt
-     * @param account who asks
-     * @param requestClass the class whose objectives hold
+     * @param account the client account of the caller
+     * @param requestClass the class whose objectives apply
      * @param kind model or service call
      * @param model the model, for a model call
-     * @param adapter the adapter, when one is asked for
-     * @param idempotent whether the request may be run again
+     * @param adapter the adapter, if the request names one
+     * @param idempotent whether the request may be executed more than once
      * @param estimatedTokens the estimated cost in tokens, prompt and answer
-     * @param waitLimitMillis how long the request may wait before its first token, from now
-     * @param deadlineMillis how long all of it may take, from now
+     * @param waitLimitMillis the time until the first token is due, from the sending of this
+     *     message
+     * @param deadlineMillis the time until the answer must end, from the sending of this message
      * @param method the HTTP method
-     * @param path path and query towards the engine or service
-     * @param headers headers to pass on
+     * @param path the path and query for the engine or service
+     * @param headers the headers to forward
      * @param body the body
-     * @param stream whether the caller reads a stream
-     * @param creditBytes how many bytes of answer the target may send before a {@link Credit}
+     * @param stream whether the caller requests a streamed answer
+     * @param creditBytes the number of answer bytes that the target may send before a {@link
+     *     Credit}
      */
     record Submit(
             AttemptId attempt,
@@ -115,29 +117,29 @@
     }
 
     /**
-     * Entry to target: the caller went away, or the deadline passed.
+     * Entry to target: cancel the attempt, since the caller disconnected or the deadline passed.
      *
      * @param attempt the attempt
      */
     record Cancel(AttemptId attempt) implements Message {}
 
     /**
-     * Entry to target: the caller has read this many bytes more.
+     * Entry to target: the caller has read more of the answer, so more of it may be sent.
      *
      * @param attempt the attempt
-     * @param bytes how many
+     * @param bytes the number of bytes read since the previous credit
      */
     record Credit(AttemptId attempt, int bytes) implements Message {}
 
-    /** Entry to target: send a load report, since none has ridden back for a while. */
+    /** Entry to target: send a load report, since no recent answer included one. */
     record LoadQuery() implements Message {}
 
     /**
-     * Target to entry: the attempt did not run and never will.
+     * Target to entry: the attempt did not run and will not run.
      *
      * @param attempt the attempt
-     * @param code why; its {@code ran} is always {@link Ran#NO}
-     * @param retryAfterMillis when trying again makes sense, or -1
+     * @param code the reason; its {@code ran} is always {@link Ran#NO}
+     * @param retryAfterMillis the time after which a retry may succeed, or -1 if not known
      * @param load the target's load
      */
     record Refused(AttemptId attempt, ErrorCode code, long retryAfterMillis, Load load)
@@ -148,7 +150,7 @@
      *
      * @param attempt the attempt
      * @param status the HTTP status
-     * @param headers headers to pass on
+     * @param headers the headers to forward
      */
     record Started(AttemptId attempt, int status, Map<String, String> headers) implements Message {}
 
@@ -156,19 +158,19 @@
      * Target to entry: a part of the answer.
      *
      * @param attempt the attempt
-     * @param sequence 0, 1, 2 and so on within the attempt
+     * @param sequence the number of the part within the attempt, from 0
      * @param bytes the part
      */
     record Chunk(AttemptId attempt, int sequence, byte[] bytes) implements Message {}
 
     /**
-     * Target to entry: the answer is whole.
+     * Target to entry: the answer is complete.
      *
      * @param attempt the attempt
-     * @param chunks how many chunks the answer had
-     * @param promptTokens tokens read
-     * @param answerTokens tokens generated
-     * @param queuedMillis how long the attempt waited at the target
+     * @param chunks the number of chunks of the answer
+     * @param promptTokens the number of prompt tokens read
+     * @param answerTokens the number of tokens generated
+     * @param queuedMillis the time for which the attempt was queued at the target
      * @param load the target's load
      */
     record Finished(
@@ -184,54 +186,54 @@
      * Target to entry: the attempt failed after it may have started.
      *
      * @param attempt the attempt
-     * @param code what failed
-     * @param ran whether it ran
+     * @param code the kind of failure
+     * @param ran whether the request ran
      * @param load the target's load
      */
     record Failed(AttemptId attempt, ErrorCode code, Ran ran, Load load) implements Message {}
 
     /**
-     * Target to entry: the target's load, unasked or after a {@link LoadQuery}.
+     * Target to entry: the target's load, sent unsolicited or after a {@link LoadQuery}.
      *
      * @param load the load
      */
     record LoadReport(Load load) implements Message {}
 
     /**
-     * Target to entry: send no new work here.
+     * Target to entry: the target is leaving, so send it no further requests.
      *
      * @param target the target
      */
     record Leaving(TargetId target) implements Message {}
 
     /**
-     * Either way: send the configuration in force if it is newer.
+     * Either direction: send the configuration in force if it is newer.
      *
-     * @param haveVersion the version in force at the sender, or -1
+     * @param haveVersion the version in force at the sender, or -1 if there is none
      */
     record ConfigurationQuery(long haveVersion) implements Message {}
 
     /**
-     * Either way: a configuration in force at the sender.
+     * Either direction: the configuration in force at the sender.
      *
      * @param version its version
      * @param document the document as JSON
      */
     record ConfigurationOffer(long version, String document) implements Message {}
 
-    /** Entry to entry: send what the ownership stream says, since the log can't be read. */
+    /** Entry to entry: send the known owners of targets, since the log can't be read. */
     record OwnershipQuery() implements Message {}
 
     /**
-     * Records of a partition of a log, passed on so that the receiver need not read them itself.
+     * Records of a partition of a log, forwarded so that the receiver need not read them itself.
      *
      * @param topic the topic
      * @param partition the partition's number
-     * @param from the offset of the first
-     * @param records their bytes in order; none when a read found nothing new
-     * @param end where the partition ended
-     * @param wholeAtMillis the time, by the receiver's steady clock, before which nothing was
-     *     written beyond these records; {@link #UNKNOWN_MILLIS} when that can't be told
+     * @param from the offset of the first record
+     * @param records the bytes of the records in order; empty when a read found nothing new
+     * @param end the end offset of the partition
+     * @param wholeAtMillis the time, by the receiver's monotonic clock, up to which the partition
+     *     had no records beyond these; {@link #UNKNOWN_MILLIS} when it is not known
      * @param era the era of the log that the offsets belong to
      */
     record Records(
@@ -244,7 +246,7 @@
             long era)
             implements Message {
 
-        /** A time before every other. */
+        /** Stands for a time that is not known; earlier than every actual time. */
         public static final long UNKNOWN_MILLIS = Long.MIN_VALUE / 2;
 
         /** Copies the list. */
@@ -254,16 +256,16 @@
     }
 
     /**
-     * What the steady clock of the sender shows, so that the receiver can state times by it.
+     * The reading of the sender's monotonic clock, so that the receiver can convert times to it.
      *
-     * @param millis the sender's steady clock
+     * @param millis the reading
      */
     record ClockReading(long millis) implements Message {}
 
     /**
-     * Entry to entry: who owns which target.
+     * Entry to entry: the current owners of targets.
      *
-     * @param owned the owner in force of each target known at the sender
+     * @param owned the current owner of each target that the sender knows
      */
     record OwnershipOffer(List<Owned> owned) implements Message {
 
@@ -274,11 +276,11 @@
     }
 
     /**
-     * The owner in force of a target.
+     * The current owner of a target.
      *
-     * @param offset the offset of the record
-     * @param taken the record
-     * @param draining whether an operator asked the target to leave
+     * @param offset the offset of the ownership record, which is the fencing number
+     * @param taken the ownership record
+     * @param draining whether an operator requested that the target be drained
      */
     record Owned(long offset, LogEntry.OwnershipTaken taken, boolean draining) {
 
@@ -289,16 +291,16 @@
     }
 
     /**
-     * A target's load at one moment.
+     * The load of a target at one time.
      *
      * @param target the target
-     * @param sequence grows with each report of the same incarnation
-     * @param leaving whether it takes no new work
-     * @param running requests running
-     * @param queued requests waiting
-     * @param waitMillis estimated wait for a new request, by class
-     * @param resident the models in memory and ready
-     * @param adapters the adapters in memory and ready
+     * @param sequence increases with each report of the same incarnation
+     * @param leaving whether the target accepts no further requests
+     * @param running the number of running requests
+     * @param queued the number of queued requests
+     * @param waitMillis the estimated wait of a new request, by class
+     * @param resident the models that are loaded and ready
+     * @param adapters the adapters that are loaded and ready
      * @param loading the models being loaded
      */
     record Load(
--- a/core/src/main/java/org/tamaracktrack/core/message/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/message/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The messages between an entry daemon and a target daemon. A frame on the wire is a length, a
- * MessagePack body and nothing else; the body names its type in the field {@code t}.
+ * The messages between daemons. A frame on the wire consists of a length and a MessagePack body,
+ * whose field {@code t} names the message type.
  */
 package org.tamaracktrack.core.message;
