--- a/core/src/main/java/org/tamaracktrack/core/error/ErrorCode.java
+++ b/core/src/main/java/org/tamaracktrack/core/error/ErrorCode.java
@@ -1,6 +1,6 @@
 package org.tamaracktrack.core.error;
 
-/** The kinds of failure, with the HTTP status that a caller sees and whether the request ran. */
+/** The kinds of failure, with the HTTP status sent to the caller and whether the request ran. */
 public enum ErrorCode {
     BAD_IDENTIFIER(400, Ran.NO, false),
     BAD_REQUEST(400, Ran.NO, false),
@@ -18,17 +18,17 @@
     OVERLOADED(429, Ran.NO, true),
     /** The client account is over its cap or rate. */
     ACCOUNT_LIMIT(429, Ran.NO, true),
-    /** The request can no longer be served within its class. */
+    /** The request can no longer be served within the objectives of its class. */
     CANNOT_MEET_CLASS(503, Ran.NO, true),
     /** No target that can serve the model is reachable. */
     NO_TARGET(503, Ran.NO, true),
-    /** Targets ended under the request time and again, so it is sent to none. */
+    /** Several targets ended while they ran the request, so it is sent to no target. */
     QUARANTINED(503, Ran.NO, false),
     /** The target has no copy of the model and can't load one in time. */
     MODEL_NOT_RESIDENT(503, Ran.NO, true),
-    /** The target or the entry daemon takes no new work. */
+    /** The target or the entry daemon is leaving and accepts no further requests. */
     LEAVING(503, Ran.NO, true),
-    /** What the process knows is too old to decide about requests. */
+    /** The data by which the process decides about requests is older than the staleness bound. */
     OUTDATED(503, Ran.NO, true),
     /** The process has no configuration yet. */
     NOT_READY(503, Ran.NO, true),
@@ -38,31 +38,33 @@
     DEADLINE_BEFORE_START(504, Ran.NO, true),
     /** The caller cancelled before the request was started. */
     CANCELLED_BEFORE_START(499, Ran.NO, false),
-    /** The caller went away while the request was running. */
+    /** The caller disconnected while the request was running. */
     CANCELLED(499, Ran.UNKNOWN, false),
     /** The deadline passed while the request was running. */
     DEADLINE_WHILE_RUNNING(504, Ran.UNKNOWN, false),
-    /** The connection to the target broke after the request had been sent. */
+    /** The connection to the target was lost after the request had been sent. */
     OUTCOME_UNKNOWN(502, Ran.UNKNOWN, false),
-    /** The target answered, and then the rest of the answer was lost. */
+    /** The target started to answer, and the rest of the answer was lost. */
     ANSWER_CUT(502, Ran.YES, false),
     /** The engine or service answered with an error of its own. */
     TARGET_ERROR(502, Ran.YES, false),
-    /** The log is out, so a key can't be claimed. */
+    /** The log is unavailable, so an idempotency key can't be claimed. */
     CLAIM_UNAVAILABLE(503, Ran.NO, true),
-    /** A request with the same key is in progress, or its owner died while it was. */
+    /**
+     * A request with the same idempotency key is running, or its entry daemon ended while it ran.
+     */
     KEY_IN_USE(409, Ran.UNKNOWN, false),
-    /** A request with the same key ran. */
+    /** A request with the same idempotency key has run. */
     KEY_ALREADY_RAN(409, Ran.YES, false),
-    /** The key is older than the window in which keys are remembered. */
+    /** The idempotency key is older than the window in which keys are remembered. */
     KEY_EXPIRED(409, Ran.UNKNOWN, false),
-    /** The same key came with another request. */
+    /** The idempotency key was used before with a different request. */
     KEY_REUSED(422, Ran.NO, false),
     INVALID_CONFIGURATION(422, Ran.NO, false),
     SUPERSEDED(409, Ran.NO, false),
     INVALID_SETTINGS(400, Ran.NO, false),
     LOG_UNAVAILABLE(503, Ran.NO, true),
-    /** An append was sent and no answer came, so it may or may not have taken effect. */
+    /** An append was sent but not answered, so it may or may not have taken effect. */
     LOG_OUTCOME_UNKNOWN(503, Ran.UNKNOWN, true),
     LOG_GAP(503, Ran.NO, false),
     HOST_LIST_UNAVAILABLE(503, Ran.NO, true),
@@ -73,7 +75,7 @@
     FRAME_TOO_LARGE(400, Ran.NO, false),
     BAD_FRAME(400, Ran.NO, false),
     CONNECTION_CLOSED(503, Ran.UNKNOWN, true),
-    /** An invariant asserted inside the program does not hold. */
+    /** An invariant that the program checks does not hold. */
     INVARIANT_BREACH(500, Ran.UNKNOWN, false),
     INTERNAL(500, Ran.UNKNOWN, false);
 
@@ -88,7 +90,7 @@
     }
 
     /**
-     * Returns the HTTP status.
+     * Returns the HTTP status that a caller receives.
      *
      * @return the status, 400 to 599
      */
@@ -97,7 +99,7 @@
     }
 
     /**
-     * Returns whether the request ran.
+     * Returns whether a request that fails with this code ran.
      *
      * @return whether it ran
      */
@@ -106,10 +108,10 @@
     }
 
     /**
-     * Returns whether trying again later makes sense, so that an answer carries {@code
-     * Retry-After}.
+     * Returns whether a later retry may succeed, so that the response has a {@code Retry-After}
+     * header.
      *
-     * @return true when it does
+     * @return true when a retry may succeed
      */
     public boolean retryable() {
         return retryable;
--- a/core/src/main/java/org/tamaracktrack/core/error/Ran.java
+++ b/core/src/main/java/org/tamaracktrack/core/error/Ran.java
@@ -4,13 +4,13 @@
 
 /** Whether a request ran on a target. */
 public enum Ran {
-    /** It did not run, and will not. */
+    /** The request did not run and will not run. */
     @JsonProperty("no")
     NO,
-    /** It may have run, may be running, or may still run. */
+    /** The request may have run, may be running, or may still run. */
     @JsonProperty("unknown")
     UNKNOWN,
-    /** It ran. */
+    /** The request ran. */
     @JsonProperty("yes")
     YES
 }
--- a/core/src/main/java/org/tamaracktrack/core/error/TamaracktrackException.java
+++ b/core/src/main/java/org/tamaracktrack/core/error/TamaracktrackException.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** The unchecked exception of the project; its code says what failed. */
+/** The unchecked exception of the project; its code identifies the kind of failure. */
 public final class TamaracktrackException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -14,10 +14,10 @@
     }
 
     /**
-     * Returns an exception.
+     * Returns an exception without a cause.
      *
-     * @param code what failed
-     * @param message a sentence for people
+     * @param code the kind of failure
+     * @param message a description for people
      * @return the exception
      */
     public static TamaracktrackException of(ErrorCode code, String message) {
@@ -27,8 +27,8 @@
     /**
      * Returns an exception with a cause.
      *
-     * @param code what failed
-     * @param message a sentence for people
+     * @param code the kind of failure
+     * @param message a description for people
      * @param cause the cause, or null
      * @return the exception
      */
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns what failed.
+     * Returns the kind of failure.
      *
      * @return the code
      */
--- a/core/src/main/java/org/tamaracktrack/core/error/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/error/package-info.java
@@ -1,2 +1,2 @@
-/** Typed failures: every failure has a code, and says whether the request ran. */
+/** Typed failures: every failure has a code, which also states whether the request ran. */
 package org.tamaracktrack.core.error;
