--- a/core/src/main/java/org/tamaracktrack/core/id/AttemptId.java
+++ b/core/src/main/java/org/tamaracktrack/core/id/AttemptId.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * One attempt of one request by one entry daemon. Numbers are never used again by the same
- * incarnation, so a late answer can be told from the answer to a later attempt.
+ * Identifies one attempt of one request by one entry daemon. An incarnation never reuses numbers,
+ * so a late answer can be distinguished from the answer to a later attempt.
  *
  * @param entry the incarnation of the entry daemon
  * @param request the request's number within that incarnation
--- a/core/src/main/java/org/tamaracktrack/core/id/IncarnationId.java
+++ b/core/src/main/java/org/tamaracktrack/core/id/IncarnationId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * One run of one process; a restarted process has another one.
+ * Identifies one run of a process; a restarted process gets a new identifier.
  *
  * @param value the identifier as text, 1 to 128 characters of letters, digits and {@code ._:/-}
  */
--- a/core/src/main/java/org/tamaracktrack/core/id/OrderId.java
+++ b/core/src/main/java/org/tamaracktrack/core/id/OrderId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * One order to an engine; an order sent again keeps its identifier.
+ * Identifies an order to an engine; an order that is sent again keeps its identifier.
  *
  * @param value the identifier as text, 1 to 128 characters of letters, digits and {@code ._:/-}
  */
--- a/core/src/main/java/org/tamaracktrack/core/id/PublicationId.java
+++ b/core/src/main/java/org/tamaracktrack/core/id/PublicationId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * One attempt of an operator to publish a configuration.
+ * Identifies one attempt of an operator to publish a configuration.
  *
  * @param value the identifier as text, 1 to 128 characters of letters, digits and {@code ._:/-}
  */
--- a/core/src/test/java/org/tamaracktrack/core/id/AttemptIdTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/id/AttemptIdTest.java
@@ -12,7 +12,7 @@
 class AttemptIdTest {
 
     @Property(seed = "4242")
-    void shouldDifferFromEveryEarlierAttemptWhenNext(@ForAll long request, @ForAll short attempt) {
+    void shouldDifferFromThePreviousAttemptWhenNext(@ForAll long request, @ForAll short attempt) {
         AttemptId first = AttemptId.of(IncarnationId.of("entry-1"), request, attempt);
 
         assertThat(first.next()).isNotEqualTo(first);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void shouldRefuseWhenTheTextIsNotAnIdentifier() {
+    void shouldThrowWhenTheTextIsNotAnIdentifier() {
         TamaracktrackException failure =
                 assertThrows(TamaracktrackException.class, () -> ModelId.of("two words"));
 
