--- a/core/src/main/java/org/tamaracktrack/core/config/CrossChecks.java
+++ b/core/src/main/java/org/tamaracktrack/core/config/CrossChecks.java
@@ -13,7 +13,7 @@
 import org.tamaracktrack.core.config.Configuration.Target;
 import org.tamaracktrack.core.id.ServiceId;
 
-/** Checks that concern several parts of a configuration together. */
+/** Validates conditions that involve several parts of a configuration. */
 final class CrossChecks {
     private final ProblemCollector problems;
 
@@ -36,7 +36,7 @@
         checkSizes(configuration);
     }
 
-    static long usable(Accelerator accelerator) {
+    static long usableMebibytes(Accelerator accelerator) {
         return accelerator.memoryMebibytes() - accelerator.cacheMebibytes();
     }
 
@@ -50,45 +50,51 @@
         }
     }
 
-    // Two processes that drive one engine would each believe its memory to be theirs alone.
+    // Each of two target daemons that share an engine would count all its memory as its own.
     private void checkEndpoints(Configuration configuration) {
-        Map<String, Target> seen = new HashMap<>();
+        Map<String, Target> targetsByEndpoint = new HashMap<>();
         configuration.targets().values().stream()
                 .filter(target -> !target.endpoint().isEmpty())
-                .sorted((one, other) -> one.id().compareTo(other.id()))
+                .sorted((left, right) -> left.id().compareTo(right.id()))
                 .forEach(
                         target -> {
-                            Target first = seen.putIfAbsent(target.endpoint(), target);
+                            Target first = targetsByEndpoint.putIfAbsent(target.endpoint(), target);
                             if (first != null) {
                                 problems.add(
                                         ProblemKind.DUPLICATE,
                                         "targets." + target.id() + ".endpoint",
-                                        target.endpoint() + ", which is also " + first.id(),
+                                        target.endpoint()
+                                                + ", which is also the endpoint of "
+                                                + first.id(),
                                         "an endpoint of its own");
                             }
                         });
     }
 
-    // A key that proves two accounts would let one caller read and spend as the other.
+    // A key that authenticates two accounts would let the callers of one act as the other.
     private void checkKeys(Configuration configuration) {
-        Map<String, ClientAccount> seen = new HashMap<>();
+        Map<String, ClientAccount> accountsByKeyHash = new HashMap<>();
         configuration.accounts().values().stream()
-                .sorted((one, other) -> one.id().compareTo(other.id()))
+                .sorted((left, right) -> left.id().compareTo(right.id()))
                 .forEach(
                         account ->
                                 account.keyHashes().stream()
                                         .distinct()
-                                        .forEach(hash -> checkKey(seen, account, hash)));
+                                        .forEach(
+                                                hash ->
+                                                        checkKey(
+                                                                accountsByKeyHash, account, hash)));
     }
 
-    private void checkKey(Map<String, ClientAccount> seen, ClientAccount account, String hash) {
-        ClientAccount first = seen.putIfAbsent(hash, account);
+    private void checkKey(
+            Map<String, ClientAccount> accountsByKeyHash, ClientAccount account, String hash) {
+        ClientAccount first = accountsByKeyHash.putIfAbsent(hash, account);
         if (first != null) {
             problems.add(
                     ProblemKind.DUPLICATE,
                     "accounts." + account.id() + ".keyHashes",
-                    hash + ", which also proves " + first.id(),
-                    "keys that prove one account only");
+                    hash + ", which also authenticates " + first.id(),
+                    "keys that authenticate one account only");
         }
     }
 
@@ -106,52 +112,58 @@
                                 problems.add(
                                         ProblemKind.MISSING,
                                         "services." + service,
-                                        "no target of this service, and accounts that use it",
+                                        "no target, although accounts use this service",
                                         "one target or more of kind service"));
     }
 
     private void checkSizes(Configuration configuration) {
-        long largest =
+        long largestMebibytes =
                 configuration.targets().values().stream()
                         .flatMap(target -> target.accelerators().stream())
-                        .mapToLong(CrossChecks::usable)
+                        .mapToLong(CrossChecks::usableMebibytes)
                         .max()
                         .orElse(0);
         configuration.models().values().stream()
-                .filter(model -> model.memoryMebibytes() > largest)
+                .filter(model -> model.memoryMebibytes() > largestMebibytes)
                 .forEach(
                         model ->
-                                doesNotFit(
-                                        "models." + model.id(), model.memoryMebibytes(), largest));
+                                reportDoesNotFit(
+                                        "models." + model.id(),
+                                        model.memoryMebibytes(),
+                                        largestMebibytes));
         configuration.adapters().values().stream()
-                .flatMap(adapter -> withBase(configuration, adapter, largest))
+                .flatMap(
+                        adapter ->
+                                adapterIfTooLargeWithBase(configuration, adapter, largestMebibytes))
                 .forEach(
                         adapter ->
-                                doesNotFit(
+                                reportDoesNotFit(
                                         "adapters." + adapter.id(),
                                         adapter.memoryMebibytes(),
-                                        largest
+                                        largestMebibytes
                                                 - configuration
                                                         .models()
                                                         .get(adapter.base())
                                                         .memoryMebibytes()));
     }
 
-    private static Stream<Adapter> withBase(
-            Configuration configuration, Adapter adapter, long largest) {
+    private static Stream<Adapter> adapterIfTooLargeWithBase(
+            Configuration configuration, Adapter adapter, long largestMebibytes) {
         Model base = configuration.models().get(adapter.base());
         return base != null
-                        && base.memoryMebibytes() <= largest
-                        && base.memoryMebibytes() + adapter.memoryMebibytes() > largest
+                        && base.memoryMebibytes() <= largestMebibytes
+                        && base.memoryMebibytes() + adapter.memoryMebibytes() > largestMebibytes
                 ? Stream.of(adapter)
                 : Stream.empty();
     }
 
-    private void doesNotFit(String path, long found, long largest) {
+    private void reportDoesNotFit(String path, long neededMebibytes, long allowedMebibytes) {
         problems.add(
                 ProblemKind.DOES_NOT_FIT,
                 path + ".memoryMebibytes",
-                Long.toString(found),
-                "at most " + largest + ", what the largest accelerator has besides its cache");
+                Long.toString(neededMebibytes),
+                "at most "
+                        + allowedMebibytes
+                        + ", the memory of the largest accelerator without its cache");
     }
 }
