--- a/cli/src/main/java/org/tamaracktrack/cli/command/StatusCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/StatusCommand.java
@@ -175,7 +175,7 @@
                 duty.text(),
                 last.map(lease -> lease.holder().value()).orElse("none"),
                 last.map(Lease::term).orElse(-1L),
-                last.map(lease -> lease.inForceAt(plan.newestMillis()) ? "in force" : "lapsed")
+                last.map(lease -> lease.isInForceAt(plan.newestMillis()) ? "in force" : "lapsed")
                         .orElse("-"));
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/dispatch/RetryAllowances.java
+++ b/core/src/main/java/org/tamaracktrack/core/dispatch/RetryAllowances.java
@@ -84,7 +84,7 @@
     // After a freeze requests of long ago would pay for repeats as if they had just come, and a
     // part of the slack would be used that others have by now.
     private void noticeFreeze(long steadyMillis, long dayMillis) {
-        if (freezes.froze(steadyMillis, dayMillis)) {
+        if (freezes.detectFreeze(steadyMillis, dayMillis)) {
             frozeAtMillis = steadyMillis;
             allowances.values().forEach(allowance -> allowance.restart(steadyMillis));
             slack.restart();
--- a/core/src/main/java/org/tamaracktrack/core/lease/ConditionalLease.java
+++ b/core/src/main/java/org/tamaracktrack/core/lease/ConditionalLease.java
@@ -6,83 +6,92 @@
 import java.util.function.Supplier;
 
 /**
- * One holder at a time by records in a log that has no clock and appends on the condition of its
- * end. Owned by the control thread.
+ * Grants a lease to one holder at a time by records in a log that provides no clock and that
+ * accepts an append only if the log still ends at an expected offset. Used by the control thread
+ * only.
  *
- * <p>A holder acts only for a while counted from just before it sent its last acknowledged record.
- * Others count the same while from when they read that record, which is later, and only then append
- * a claim on the condition that nothing came since. So the holder stops before another can be
- * granted. The new holder waits besides, so that orders of the old one that are still on their way
- * do not meet its own.
+ * <p>A holder acts only for the validity period, counted from just before it sent its last
+ * acknowledged record. Other processes count the same period from when they read that record, which
+ * is later, and only then append a claim on the condition that no record was added since. The
+ * holder therefore stops before another process can be granted the lease. The new holder
+ * additionally waits for a pause, so that orders of the previous holder that are still in transit
+ * do not conflict with its own.
  */
 public final class ConditionalLease {
-    private static final String NOBODY = "";
+    private static final String NO_HOLDER = "";
 
     private final String self;
     private final Optional<String> address;
     private final Supplier<Optional<Contact>> contact;
     private final Terms terms;
     private long nonce;
-    private long end;
+    private long nextOffset;
     private boolean caughtUp;
-    private String holder = NOBODY;
+    private String holder = NO_HOLDER;
     private long term = -1;
     private boolean released;
-    private long holderSeenMillis;
-    private Optional<Sent> pending = Optional.empty();
-    private long trustedUntilMillis = Long.MIN_VALUE;
-    private long actFromMillis;
-    private long notBeforeMillis = Long.MIN_VALUE;
-    private long renewals;
+    private long holderRecordReadMillis;
+    private Optional<PendingAppend> pendingAppend = Optional.empty();
+    private long validUntilMillis = Long.MIN_VALUE;
+    private long mayActFromMillis;
+    private long restorePauseEndMillis = Long.MIN_VALUE;
+    private long renewalCount;
     private long nextAppendMillis;
-    private boolean left;
+    private boolean releasedBySelf;
     private Optional<Contact> holderContact = Optional.empty();
 
     /**
-     * Times of a lease, in milliseconds.
+     * The times of a lease, in milliseconds.
      *
-     * @param trust how long a holder acts after sending a record
-     * @param renew how often it sends one
-     * @param quiet the pause between the last act of one holder and the first of the next
-     * @param delay what this process waits longer than others before it claims
+     * @param validityMillis how long a holder may act after sending a record
+     * @param renewalIntervalMillis the interval between two renewals
+     * @param handoverPauseMillis the pause between the last action of one holder and the first of
+     *     the next
+     * @param claimDelayMillis how much longer than other processes this process waits before it
+     *     claims
      */
-    public record Terms(long trust, long renew, long quiet, long delay) {
-        /** A holder acts this long after its last renewal; slow answers of a log take 0.4 s. */
-        private static final long TRUST_MILLIS = 2_000;
+    public record Terms(
+            long validityMillis,
+            long renewalIntervalMillis,
+            long handoverPauseMillis,
+            long claimDelayMillis) {
+        /** Well above the 0.4 s within which a slow log responds. */
+        private static final long VALIDITY_MILLIS = 2_000;
 
-        /** Two renewals may be lost before the holder stops. */
-        private static final long RENEW_MILLIS = 700;
+        /** Allows two consecutive renewals to be lost before the holder stops. */
+        private static final long RENEWAL_INTERVAL_MILLIS = 700;
 
-        /** On top of the pause between two holders: acts on their way, and clock drift. */
-        private static final long QUIET_MARGIN_MILLIS = 300;
+        /** Added to the pause between two holders, for orders in transit and clock drift. */
+        private static final long HANDOVER_MARGIN_MILLIS = 300;
 
-        private static final long LEASE_MARGIN_MILLIS = 200;
+        private static final long CLAIM_MARGIN_MILLIS = 200;
 
         /**
-         * Returns the terms in force.
+         * Returns the terms that are used in production.
          *
-         * @param pause the pause that is asked for between two holders
-         * @param delay what this process waits longer than others before it claims
+         * @param pauseMillis the required pause between two holders, without margin
+         * @param claimDelayMillis how much longer than other processes this process waits before it
+         *     claims
          * @return the terms
          */
-        public static Terms of(long pause, long delay) {
+        public static Terms of(long pauseMillis, long claimDelayMillis) {
             return new Terms(
-                    TRUST_MILLIS,
-                    RENEW_MILLIS,
-                    pause + QUIET_MARGIN_MILLIS,
-                    LEASE_MARGIN_MILLIS + delay);
+                    VALIDITY_MILLIS,
+                    RENEWAL_INTERVAL_MILLIS,
+                    pauseMillis + HANDOVER_MARGIN_MILLIS,
+                    CLAIM_MARGIN_MILLIS + claimDelayMillis);
         }
     }
 
     /**
      * A record of the lease.
      *
-     * @param holder who holds
-     * @param term the offset of the claim, a fencing number; ignored in a claim
-     * @param claim whether it begins a term
-     * @param release whether it ends one
-     * @param nonce tells a process its own records apart
-     * @param contact where the holder can be reached, if it can
+     * @param holder the name of the process that holds the lease
+     * @param term the offset of the claim, used as the fencing number; ignored in a claim
+     * @param claim whether the record begins a term
+     * @param release whether the record ends a term
+     * @param nonce a number by which a process tells its own records apart
+     * @param contact the contact of the holder, if it can be reached
      */
     public record LeaseRecord(
             String holder,
@@ -93,10 +102,10 @@
             Optional<Contact> contact) {}
 
     /**
-     * Where a holder can be reached.
+     * The address at which a holder can be reached, and the secret of its connections.
      *
-     * @param address its IP number and port
-     * @param secret what both ends of a connection prove to know
+     * @param address the IP address and port of the holder
+     * @param secret the shared secret that both ends of a connection prove to know
      */
     public record Contact(String address, String secret) {}
 
@@ -104,11 +113,11 @@
      * A record to append.
      *
      * @param content the record
-     * @param expectedEnd where the log must end
+     * @param expectedEnd the offset at which the log must end for the append to succeed
      */
     public record Append(LeaseRecord content, long expectedEnd) {}
 
-    private record Sent(LeaseRecord content, long atMillis) {}
+    private record PendingAppend(LeaseRecord content, long sentAtMillis) {}
 
     private ConditionalLease(
             String self,
@@ -124,11 +133,11 @@
     /**
      * Returns a lease that is not held.
      *
-     * @param self names this process; no other has the name
-     * @param address where others reach this process, as its contacts say; a holder with the same
-     *     address is this process's predecessor on its host, which has ended
-     * @param contact where others reach this process, asked for when it writes a record
-     * @param terms its times
+     * @param self the unique name of this process
+     * @param address the address of this process as it appears in its contacts; a holder with the
+     *     same address is a predecessor of this process on the same host, which has ended
+     * @param contact supplies the contact of this process each time it writes a record
+     * @param terms the times of the lease
      * @return the lease
      */
     public static ConditionalLease of(
@@ -144,256 +153,272 @@
     }
 
     /**
-     * Returns where another process can be reached that holds the lease, as far as is known.
+     * Returns the contact of the holder when another process holds the lease, as far as it is
+     * known.
      *
-     * @return the contact; empty when nobody holds, this process does, or the holder named none
+     * @return the contact; empty when there is no holder, when this process is the holder, or when
+     *     the holder gave no contact
      */
-    public Optional<Contact> otherHolder() {
+    public Optional<Contact> otherHolderContact() {
         return released || holder.equals(self) ? Optional.empty() : holderContact;
     }
 
     /**
-     * Returns where to read on.
+     * Returns the offset of the next record to read.
      *
-     * @return an offset
+     * @return the offset
      */
     public long readFrom() {
-        return end;
+        return nextOffset;
     }
 
     /**
-     * Returns whether records have to be read before anything can be decided.
+     * Returns whether the log has to be read before this process can claim or renew.
      *
-     * @return true when the log may have records that were not read
+     * @return true when the log may contain records that were not read yet
      */
     public boolean mustRead() {
         return !caughtUp;
     }
 
     /**
-     * A record was read.
+     * Applies a record that was read from the log.
      *
-     * @param offset where it stands
+     * @param offset the offset of the record
      * @param content the record
-     * @param nowMillis the monotonic time
+     * @param nowMillis the monotonic time in milliseconds
      */
     public void read(long offset, LeaseRecord content, long nowMillis) {
-        if (offset < end) {
+        if (offset < nextOffset) {
             return;
         }
-        take(offset, content, nowMillis);
-        pending.filter(sent -> sent.content().equals(content))
-                .ifPresent(sent -> granted(sent.atMillis()));
+        apply(offset, content, nowMillis);
+        pendingAppend
+                .filter(append -> append.content().equals(content))
+                .ifPresent(append -> extendValidity(append.sentAtMillis()));
     }
 
-    private void take(long offset, LeaseRecord content, long nowMillis) {
+    private void apply(long offset, LeaseRecord content, long nowMillis) {
         if (content.claim() && !holder.equals(content.holder())) {
-            actFromMillis = actFrom(content, nowMillis);
-            renewals = 0;
+            mayActFromMillis = earliestActionMillis(content, nowMillis);
+            renewalCount = 0;
         } else {
-            renewals++;
+            renewalCount++;
         }
-        end = offset + 1;
+        nextOffset = offset + 1;
         holder = content.holder();
         term = content.claim() ? offset : content.term();
         released = content.release();
         holderContact = content.contact();
-        holderSeenMillis = nowMillis;
+        holderRecordReadMillis = nowMillis;
         if (!holder.equals(self)) {
-            trustedUntilMillis = Long.MIN_VALUE;
+            validUntilMillis = Long.MIN_VALUE;
         }
     }
 
-    private long actFrom(LeaseRecord claim, long nowMillis) {
-        if (holder.equals(NOBODY)) {
+    private long earliestActionMillis(LeaseRecord claim, long nowMillis) {
+        if (holder.equals(NO_HOLDER)) {
             return nowMillis;
         }
-        // A process that starts again where the holder was need not wait for it: it has ended, and
-        // engines take both for one. Only the pause after the holder before that may still run, of
-        // which each renewal since shows a part to be over. After a loss of power of all hosts,
-        // orders came 6 s after the start without this.
-        if (claim.holder().equals(self) && predecessorHeld()) {
-            return Math.max(nowMillis, actFromMillis - renewals * terms.renew());
+        // A process that starts at the address of the holder need not wait for that holder: it has
+        // ended, and engines treat both as one. Only the pause after the holder before it may still
+        // be running, and each renewal since then shows that a part of that pause has passed.
+        // Without this, the first orders came 6 s after the start when all hosts had lost power.
+        if (claim.holder().equals(self) && wasHeldByPredecessor()) {
+            return Math.max(
+                    nowMillis, mayActFromMillis - renewalCount * terms.renewalIntervalMillis());
         }
-        // What the holder before may still do is counted from when its last record was read.
-        long lastAct = released ? holderSeenMillis : holderSeenMillis + terms.trust();
-        return lastAct + terms.quiet();
+        // The time for which the previous holder may still act is counted from when its last record
+        // was read.
+        long lastActionMillis =
+                released ? holderRecordReadMillis : holderRecordReadMillis + terms.validityMillis();
+        return lastActionMillis + terms.handoverPauseMillis();
     }
 
-    private boolean predecessorHeld() {
+    private boolean wasHeldByPredecessor() {
         return !holder.equals(self)
                 && address.isPresent()
                 && address.equals(holderContact.map(Contact::address));
     }
 
     /**
-     * A read found no further record.
+     * Records that a read found no further record.
      *
-     * @param nowMillis the monotonic time
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void readAll(long nowMillis) {
+    public void caughtUp(long nowMillis) {
         caughtUp = true;
-        if (pending.isPresent() && nowMillis - pending.get().atMillis() > terms.trust()) {
-            pending = Optional.empty();
+        if (pendingAppend.isPresent()
+                && nowMillis - pendingAppend.get().sentAtMillis() > terms.validityMillis()) {
+            pendingAppend = Optional.empty();
         }
     }
 
     /**
-     * Records were forgotten before they were read.
+     * Records that entries expired from the log before they were read.
      *
-     * @param first the first that is kept
-     * @param nowMillis the monotonic time
+     * @param firstOffset the offset of the first record that the log still contains
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void skipped(long first, long nowMillis) {
-        // Somebody may hold by a record that nobody can read any more.
-        end = first;
+    public void recordsExpired(long firstOffset, long nowMillis) {
+        // Another process may hold the lease by a record that can no longer be read.
+        nextOffset = firstOffset;
         holder = "unknown";
         holderContact = Optional.empty();
         released = false;
-        holderSeenMillis = nowMillis;
-        trustedUntilMillis = Long.MIN_VALUE;
+        holderRecordReadMillis = nowMillis;
+        validUntilMillis = Long.MIN_VALUE;
     }
 
     /**
-     * The log came back from a copy: records may be gone, that of the holder among them.
+     * Records that the log was restored from a copy, and may have lost records, including those of
+     * the holder.
      *
-     * @param nowMillis the monotonic time
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void restored(long nowMillis) {
-        distrust();
-        // Somebody may hold by a record that is gone, and not know yet.
-        skipped(0, nowMillis);
-        notBeforeMillis = nowMillis + terms.trust() + terms.quiet();
+    public void logRestored(long nowMillis) {
+        invalidate();
+        // Another process may still act by a record that was lost, because it has not learnt of the
+        // restore yet.
+        recordsExpired(0, nowMillis);
+        restorePauseEndMillis = nowMillis + terms.validityMillis() + terms.handoverPauseMillis();
     }
 
     /**
      * Returns the record to append now, if one is due.
      *
-     * @param nowMillis the monotonic time
+     * @param nowMillis the monotonic time in milliseconds
      * @return the record
      */
     public Optional<Append> tick(long nowMillis) {
-        if (left || !caughtUp || pending.isPresent() || nowMillis < nextAppendMillis) {
+        if (releasedBySelf
+                || !caughtUp
+                || pendingAppend.isPresent()
+                || nowMillis < nextAppendMillis) {
             return Optional.empty();
         }
-        boolean own = holder.equals(self) && !released;
-        if (!own && !free(nowMillis)) {
+        boolean isHolder = holder.equals(self) && !released;
+        if (!isHolder && !isClaimable(nowMillis)) {
             return Optional.empty();
         }
         LeaseRecord content =
-                new LeaseRecord(self, own ? term : 0, !own, false, ++nonce, contact.get());
-        return sent(content, nowMillis);
+                new LeaseRecord(
+                        self, isHolder ? term : 0, !isHolder, false, ++nonce, contact.get());
+        return prepareAppend(content, nowMillis);
     }
 
-    private Optional<Append> sent(LeaseRecord content, long nowMillis) {
-        pending = Optional.of(new Sent(content, nowMillis));
-        nextAppendMillis = nowMillis + terms.renew();
-        return Optional.of(new Append(content, end));
+    private Optional<Append> prepareAppend(LeaseRecord content, long nowMillis) {
+        pendingAppend = Optional.of(new PendingAppend(content, nowMillis));
+        nextAppendMillis = nowMillis + terms.renewalIntervalMillis();
+        return Optional.of(new Append(content, nextOffset));
     }
 
-    private boolean free(long nowMillis) {
-        if (holder.equals(NOBODY)) {
-            return nowMillis >= terms.delay();
+    private boolean isClaimable(long nowMillis) {
+        if (holder.equals(NO_HOLDER)) {
+            return nowMillis >= terms.claimDelayMillis();
         }
-        if (predecessorHeld()) {
+        if (wasHeldByPredecessor()) {
             return true;
         }
-        long lapsed = released ? 0 : terms.trust();
-        return nowMillis >= holderSeenMillis + lapsed + terms.delay();
+        long validityMillis = released ? 0 : terms.validityMillis();
+        return nowMillis >= holderRecordReadMillis + validityMillis + terms.claimDelayMillis();
     }
 
     /**
-     * The record of the last {@link #tick} was written.
+     * Records that the append of the last {@link #tick} was written.
      *
-     * @param offset where
-     * @param nowMillis the monotonic time
+     * @param offset the offset of the written record
+     * @param nowMillis the monotonic time in milliseconds
      */
     public void appended(long offset, long nowMillis) {
-        pending.ifPresent(
-                sent -> {
-                    if (offset >= end) {
-                        take(offset, sent.content(), nowMillis);
+        pendingAppend.ifPresent(
+                append -> {
+                    if (offset >= nextOffset) {
+                        apply(offset, append.content(), nowMillis);
                     }
-                    granted(sent.atMillis());
+                    extendValidity(append.sentAtMillis());
                 });
     }
 
-    private void granted(long sentAtMillis) {
-        pending = Optional.empty();
-        if (holder.equals(self) && !released && !left) {
-            trustedUntilMillis = Math.max(trustedUntilMillis, sentAtMillis + terms.trust());
+    private void extendValidity(long sentAtMillis) {
+        pendingAppend = Optional.empty();
+        if (holder.equals(self) && !released && !releasedBySelf) {
+            validUntilMillis = Math.max(validUntilMillis, sentAtMillis + terms.validityMillis());
         }
     }
 
-    /** The record was not written, since the log did not end where it was expected to. */
-    public void conflict() {
-        pending = Optional.empty();
+    /**
+     * Records that the append was not written because the log did not end at the expected offset.
+     */
+    public void appendConflicted() {
+        pendingAppend = Optional.empty();
         caughtUp = false;
     }
 
-    /** The record was not written. */
-    public void refused() {
-        pending = Optional.empty();
+    /** Records that the append was not written. */
+    public void appendRejected() {
+        pendingAppend = Optional.empty();
     }
 
-    /** No answer came: the record may have been written, or may still be. */
-    public void unanswered() {
+    /** Records that the append got no response: it may have been written, or may still be. */
+    public void appendUnanswered() {
         caughtUp = false;
     }
 
-    /** The process did not run for a while, so its sense of the time passed can't be trusted. */
-    public void distrust() {
-        trustedUntilMillis = Long.MIN_VALUE;
-        pending = Optional.empty();
+    /** Ends the validity of the lease because the process was suspended for an unknown time. */
+    public void invalidate() {
+        validUntilMillis = Long.MIN_VALUE;
+        pendingAppend = Optional.empty();
         caughtUp = false;
     }
 
     /**
-     * Gives the lease up for good.
+     * Releases the lease. This process does not claim it again.
      *
-     * @param nowMillis the monotonic time
-     * @return the record to append, if the lease is held
+     * @param nowMillis the monotonic time in milliseconds
+     * @return the release record to append, if the lease is held
      */
-    public Optional<Append> leave(long nowMillis) {
-        boolean holding = nowMillis < trustedUntilMillis;
-        left = true;
-        trustedUntilMillis = Long.MIN_VALUE;
+    public Optional<Append> release(long nowMillis) {
+        boolean holding = nowMillis < validUntilMillis;
+        releasedBySelf = true;
+        validUntilMillis = Long.MIN_VALUE;
         if (!holding) {
             return Optional.empty();
         }
-        return sent(new LeaseRecord(self, term, false, true, ++nonce, contact.get()), nowMillis);
+        return prepareAppend(
+                new LeaseRecord(self, term, false, true, ++nonce, contact.get()), nowMillis);
     }
 
     /**
-     * Returns the term while this process may act.
+     * Returns the term of the lease while this process may act as the holder.
      *
-     * @param nowMillis the monotonic time
-     * @return the fencing number; empty when it may not
+     * @param nowMillis the monotonic time in milliseconds
+     * @return the term, used as the fencing number; empty when this process may not act
      */
     public OptionalLong term(long nowMillis) {
         boolean mayAct =
-                nowMillis < trustedUntilMillis
-                        && nowMillis >= actFromMillis
-                        && nowMillis >= notBeforeMillis;
+                nowMillis < validUntilMillis
+                        && nowMillis >= mayActFromMillis
+                        && nowMillis >= restorePauseEndMillis;
         return mayAct ? OptionalLong.of(term) : OptionalLong.empty();
     }
 
     /**
-     * Returns until when this process may act, if it sends nothing more.
+     * Returns the time until which this process may act if it sends no further record.
      *
-     * @return the monotonic time
+     * @return the monotonic time in milliseconds
      */
-    public long trustedUntilMillis() {
-        return trustedUntilMillis;
+    public long validUntilMillis() {
+        return validUntilMillis;
     }
 
     /**
-     * Returns whether this process holds the lease, though it may not act yet.
+     * Returns whether this process holds the lease, even if it may not act yet.
      *
-     * @param nowMillis the monotonic time
-     * @return true when it does
+     * @param nowMillis the monotonic time in milliseconds
+     * @return true when this process holds the lease
      */
     public boolean holds(long nowMillis) {
-        return nowMillis < trustedUntilMillis;
+        return nowMillis < validUntilMillis;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/lease/Duty.java
+++ b/core/src/main/java/org/tamaracktrack/core/lease/Duty.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The duties that one entry daemon at a time holds. */
+/** The duties of which each is held by one entry daemon at a time. */
 public enum Duty {
     /** Publishes placement plans. */
     PLANNER,
@@ -10,7 +10,7 @@
     REPORTER;
 
     /**
-     * Returns the duty as it stands in lease records.
+     * Returns the text that names the duty in lease records.
      *
      * @return the text
      */
--- a/core/src/main/java/org/tamaracktrack/core/lease/FreezeDetector.java
+++ b/core/src/main/java/org/tamaracktrack/core/lease/FreezeDetector.java
@@ -1,55 +1,62 @@
 package org.tamaracktrack.core.lease;
 
 /**
- * Notices that the process stood still, by comparing the steady clock with the time of day: the
- * steady clock does not count the time of a freeze, the time of day does.
+ * Detects that the process was suspended, by comparing the monotonic clock with the wall clock:
+ * while the process is frozen, the wall clock advances and the monotonic clock does not.
  *
- * <p>Without it a holder that was frozen past its lease would go on where it stopped and give
- * orders beside its successor. A jump of the time of day looks the same; it costs one renewal.
+ * <p>Without this check, a holder that was frozen beyond the end of its lease would continue where
+ * it stopped and give orders at the same time as its successor. A jump of the wall clock has the
+ * same appearance; it costs one renewal.
  */
 public final class FreezeDetector {
-    /** Clock corrections stay far below this, freezes that matter to a lease far above. */
-    private static final long JUMP_MILLIS = 150;
+    /**
+     * Clock corrections are far smaller than this, and freezes that matter to a lease are far
+     * longer.
+     */
+    private static final long MAXIMUM_DRIFT_MILLIS = 150;
 
-    private long difference;
+    private long clockDifferenceMillis;
 
-    private FreezeDetector(long difference) {
-        this.difference = difference;
+    private FreezeDetector(long clockDifferenceMillis) {
+        this.clockDifferenceMillis = clockDifferenceMillis;
     }
 
     /**
-     * Returns a detector.
+     * Returns a detector that starts with the given clock readings.
      *
-     * @param steadyMillis the steady clock
-     * @param dayMillis the time of day
+     * @param monotonicMillis the monotonic clock in milliseconds
+     * @param wallClockMillis the wall clock in milliseconds
      * @return the detector
      */
-    public static FreezeDetector of(long steadyMillis, long dayMillis) {
-        return new FreezeDetector(dayMillis - steadyMillis);
+    public static FreezeDetector of(long monotonicMillis, long wallClockMillis) {
+        return new FreezeDetector(wallClockMillis - monotonicMillis);
     }
 
     /**
-     * Returns whether the clocks have moved apart since an earlier reading.
+     * Returns whether the two clocks have diverged since an earlier reading.
      *
-     * @param earlier time of day less steady clock, as it was then
-     * @param steadyMillis the steady clock
-     * @param dayMillis the time of day
-     * @return true when the process may have stood still since
+     * @param earlierDifferenceMillis the wall clock minus the monotonic clock at the earlier
+     *     reading
+     * @param monotonicMillis the monotonic clock in milliseconds
+     * @param wallClockMillis the wall clock in milliseconds
+     * @return true when the process may have been frozen since the earlier reading
      */
-    public static boolean apart(long earlier, long steadyMillis, long dayMillis) {
-        return Math.abs(dayMillis - steadyMillis - earlier) > JUMP_MILLIS;
+    public static boolean clocksDiverged(
+            long earlierDifferenceMillis, long monotonicMillis, long wallClockMillis) {
+        return Math.abs(wallClockMillis - monotonicMillis - earlierDifferenceMillis)
+                > MAXIMUM_DRIFT_MILLIS;
     }
 
     /**
-     * Compares the clocks with the last time.
+     * Compares the clocks with the previous reading, and stores this reading for the next call.
      *
-     * @param steadyMillis the steady clock
-     * @param dayMillis the time of day
-     * @return true when the process may have stood still since
+     * @param monotonicMillis the monotonic clock in milliseconds
+     * @param wallClockMillis the wall clock in milliseconds
+     * @return true when the process may have been frozen since the earlier reading
      */
-    public boolean froze(long steadyMillis, long dayMillis) {
-        boolean jumped = apart(difference, steadyMillis, dayMillis);
-        difference = dayMillis - steadyMillis;
-        return jumped;
+    public boolean detectFreeze(long monotonicMillis, long wallClockMillis) {
+        boolean diverged = clocksDiverged(clockDifferenceMillis, monotonicMillis, wallClockMillis);
+        clockDifferenceMillis = wallClockMillis - monotonicMillis;
+        return diverged;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/lease/Lease.java
+++ b/core/src/main/java/org/tamaracktrack/core/lease/Lease.java
@@ -6,9 +6,10 @@
 /**
  * A granted lease.
  *
- * @param holder the process that holds it
- * @param term the offset of the holder's first grant
- * @param expiresAtMillis when it ends, by the log's clock
+ * @param holder the process that holds the lease
+ * @param term the offset of the record that first granted the lease to this holder; serves as the
+ *     fencing number
+ * @param expiresAtMillis the time at which the lease ends, by the clock of the log
  */
 public record Lease(IncarnationId holder, long term, long expiresAtMillis) {
 
@@ -18,12 +19,12 @@
     }
 
     /**
-     * Returns whether it is in force.
+     * Returns whether the lease is in force at a time.
      *
-     * @param logMillis a time by the log's clock
-     * @return true when it is
+     * @param logMillis a time by the clock of the log
+     * @return true when the lease has not expired at that time
      */
-    public boolean inForceAt(long logMillis) {
+    public boolean isInForceAt(long logMillis) {
         return logMillis < expiresAtMillis;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/lease/LeaseRegister.java
+++ b/core/src/main/java/org/tamaracktrack/core/lease/LeaseRegister.java
@@ -11,17 +11,17 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * The leases, derived from the records of the plan stream in offset order. Every reader of the same
- * records derives the same holders, so nothing has to be agreed beyond the log's order.
+ * The leases, derived from the records of the plan stream in offset order. All readers of the same
+ * records derive the same holders, so the order of the log is the only agreement that is needed.
  */
 public final class LeaseRegister {
-    /** A longer lease is cut to this, so that a bad record can't take a duty for good. */
+    /** Longer durations are reduced to this, so that one bad record cannot block a duty forever. */
     public static final long MAXIMUM_DURATION_MILLIS = 60_000;
 
     private final Map<Duty, Lease> leases = new EnumMap<>(Duty.class);
-    private final Set<Duty> doubtful = EnumSet.noneOf(Duty.class);
+    private final Set<Duty> unconfirmedDuties = EnumSet.noneOf(Duty.class);
     private long firstOffset = -1;
-    private long firstMillis;
+    private long firstAppendedAtMillis;
 
     private LeaseRegister() {}
 
@@ -35,29 +35,33 @@
     }
 
     /**
-     * Takes the next record of the plan stream in.
+     * Applies the next record of the plan stream.
      *
      * @param record the record
-     * @return true when it granted, renewed or ended a lease
+     * @return true when the record granted, renewed or ended a lease
      */
     public boolean handle(LogRecord record) {
         if (firstOffset < 0) {
             firstOffset = record.offset();
-            firstMillis = record.appendedAtMillis();
+            firstAppendedAtMillis = record.appendedAtMillis();
         }
         if (record.entry() instanceof LogEntry.LeaseTaken taken) {
-            return duty(taken.duty()).map(duty -> take(duty, taken, record)).orElse(false);
+            return findDuty(taken.duty())
+                    .map(duty -> applyTaken(duty, taken, record))
+                    .orElse(false);
         }
         if (record.entry() instanceof LogEntry.LeaseReleased released) {
-            return duty(released.duty()).map(duty -> release(duty, released, record)).orElse(false);
+            return findDuty(released.duty())
+                    .map(duty -> applyReleased(duty, released, record))
+                    .orElse(false);
         }
         return false;
     }
 
-    private boolean take(Duty duty, LogEntry.LeaseTaken taken, LogRecord record) {
+    private boolean applyTaken(Duty duty, LogEntry.LeaseTaken taken, LogRecord record) {
         Lease last = leases.get(duty);
-        boolean inForce = last != null && last.inForceAt(record.appendedAtMillis());
-        if (!granted(duty, last, inForce, taken, record.offset())) {
+        boolean inForce = last != null && last.isInForceAt(record.appendedAtMillis());
+        if (!isGranted(duty, last, inForce, taken, record.offset())) {
             return false;
         }
         long expiresAtMillis =
@@ -66,27 +70,30 @@
         Lease lease =
                 new Lease(taken.holder(), term(last, inForce, taken, record), expiresAtMillis);
         leases.put(duty, lease);
-        if (taken.renews() < 0 && historyUnknown(record)) {
-            doubtful.add(duty);
+        if (taken.renews() < 0 && isHistoryUnknown(record)) {
+            unconfirmedDuties.add(duty);
         } else {
-            doubtful.remove(duty);
+            unconfirmedDuties.remove(duty);
         }
         return true;
     }
 
-    // A reader that begins in the middle of the stream may first see a claim that full readers
-    // refused because of a grant that has expired from the log. Believed for good, that claim's
-    // term would be higher than the true holder's and every plan would be dropped. Within the
-    // longest lease from the first record read, a claim is therefore doubtful and gives way to any
-    // renewal: a holder renews within its lease, and of two renewals the higher term stays.
-    private boolean historyUnknown(LogRecord record) {
-        return firstOffset > 0 && record.appendedAtMillis() < firstMillis + MAXIMUM_DURATION_MILLIS;
+    // A reader that starts in the middle of the stream may first read a claim that readers of the
+    // whole stream refused because of a grant that has since expired from the log. If it kept that
+    // claim, the term would be higher than that of the real holder and every plan would be dropped.
+    // Until the maximum lease duration has passed since the first record read, a claim is therefore
+    // unconfirmed and any renewal replaces it: a holder renews within its lease, and of two
+    // renewals the one with the higher term is kept.
+    private boolean isHistoryUnknown(LogRecord record) {
+        return firstOffset > 0
+                && record.appendedAtMillis() < firstAppendedAtMillis + MAXIMUM_DURATION_MILLIS;
     }
 
-    // A paused holder that wakes after its lease lapsed renews a term that another process has
-    // since been granted past. Granting it would give two holders in turn; its number is lower than
-    // the last grant's, so every reader refuses it and it has to claim anew.
-    private boolean granted(
+    // A holder that was paused until after its lease expired may renew its old term although
+    // another process was granted the duty in between. Granting that renewal would bring two
+    // holders into force in turn. Its term is lower than that of the last grant, so all readers
+    // refuse it, and the process has to claim the duty again.
+    private boolean isGranted(
             Duty duty, Lease last, boolean inForce, LogEntry.LeaseTaken taken, long offset) {
         if (taken.renews() >= offset) {
             return false;
@@ -98,7 +105,7 @@
         if (taken.renews() < 0) {
             return !inForce || sameHolder;
         }
-        return doubtful.contains(duty)
+        return unconfirmedDuties.contains(duty)
                 || taken.renews() > last.term()
                 || sameHolder && taken.renews() == last.term();
     }
@@ -112,7 +119,7 @@
         return repeatedClaim ? last.term() : record.offset();
     }
 
-    private boolean release(Duty duty, LogEntry.LeaseReleased released, LogRecord record) {
+    private boolean applyReleased(Duty duty, LogEntry.LeaseReleased released, LogRecord record) {
         Lease last = leases.get(duty);
         if (last == null || !last.holder().equals(released.holder())) {
             return false;
@@ -123,7 +130,7 @@
     }
 
     /**
-     * Returns the last lease granted, whether or not it has lapsed since.
+     * Returns the lease that was granted last, whether or not it has expired since.
      *
      * @param duty the duty
      * @return the lease, if any was granted
@@ -133,14 +140,14 @@
     }
 
     /**
-     * Returns the lease in force.
+     * Returns the lease that is in force at a time.
      *
      * @param duty the duty
-     * @param logMillis a time by the log's clock
+     * @param logMillis a time by the clock of the log
      * @return the lease, if one is in force
      */
     public Optional<Lease> inForceAt(Duty duty, long logMillis) {
-        return last(duty).filter(lease -> lease.inForceAt(logMillis));
+        return last(duty).filter(lease -> lease.isInForceAt(logMillis));
     }
 
     /**
@@ -163,7 +170,7 @@
         return last(duty).map(Lease::term);
     }
 
-    private static Optional<Duty> duty(String text) {
+    private static Optional<Duty> findDuty(String text) {
         return Arrays.stream(Duty.values()).filter(duty -> duty.text().equals(text)).findFirst();
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/lease/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Who holds a duty, as every reader of the plan stream derives it from the records alone. */
+/** Leases that give each duty to one process at a time, derived from the records of a log. */
 package org.tamaracktrack.core.lease;
--- a/core/src/test/java/org/tamaracktrack/core/lease/ClaimDelayTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/lease/ClaimDelayTest.java
@@ -7,14 +7,15 @@
 class ClaimDelayTest {
     private static final double ALMOST_ONE = 0.999;
 
-    // Guards against a holder that has no processor time to pass on in time what it reads.
+    // A small host that became the holder would not have the processor time to relay the records
+    // that it reads promptly.
     @Test
-    void shouldLetEveryLargerHostClaimFirstWhenAHostIsSmall() {
+    void shouldDelayLongerThanEveryLargerHostWhenTheHostIsSmall() {
         assertThat(ClaimDelay.millis(0.27, 0)).isGreaterThan(ClaimDelay.millis(0.75, ALMOST_ONE));
     }
 
     @Test
-    void shouldSpreadClaimsWhenHostsAreAlike() {
+    void shouldSpreadClaimsWhenHostsHaveTheSameSize() {
         assertThat(ClaimDelay.millis(0.27, ALMOST_ONE)).isGreaterThan(ClaimDelay.millis(0.27, 0));
         assertThat(ClaimDelay.millis(1, ALMOST_ONE)).isGreaterThan(ClaimDelay.millis(1, 0));
     }
--- a/core/src/test/java/org/tamaracktrack/core/lease/ConditionalLeaseScenario.java
+++ b/core/src/test/java/org/tamaracktrack/core/lease/ConditionalLeaseScenario.java
@@ -12,33 +12,33 @@
 import org.tamaracktrack.core.lease.ConditionalLease.Terms;
 
 /**
- * Processes that compete for a lease in a log, with freezes, lost answers and late appends, and a
- * log that comes back from a copy.
+ * Simulates processes that compete for a lease in a log, with frozen processes, lost responses,
+ * late appends and a log that may be restored from a copy.
  */
 final class ConditionalLeaseScenario {
     private static final int PROCESSES = 4;
     private static final long STEP_MILLIS = 20;
-    private static final long WATCH_MILLIS = 700;
+    private static final long POLL_INTERVAL_MILLIS = 700;
     private static final long TERMS_PER_ERA = 1_000_000;
     private static final long FIRST_ERA = 1;
 
-    /** A copy is older by some seconds, and a holder writes more than one record a second. */
-    private static final int MOST_RECORDS_LOST = 12;
+    /** A copy is a few seconds old, and a holder writes more than one record a second. */
+    private static final int MAXIMUM_RECORDS_LOST = 12;
 
     private final Random random;
     private final List<LeaseRecord> log = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>((one, other) -> Long.compare(one.atMillis, other.atMillis));
+            new PriorityQueue<>((first, second) -> Long.compare(first.atMillis, second.atMillis));
     private long nowMillis;
-    private long awayUntilMillis;
-    private boolean calm;
-    private final boolean restores;
+    private long logUnavailableUntilMillis;
+    private boolean failuresEnded;
+    private final boolean logIsRestored;
     private long logEra = 1;
 
     private ConditionalLeaseScenario(Random random, Terms terms, boolean restores) {
         this.random = random;
-        this.restores = restores;
+        this.logIsRestored = restores;
         for (int number = 0; number < PROCESSES; number++) {
             processes.add(new Process("process-" + number, terms));
         }
@@ -48,30 +48,30 @@
         return new ConditionalLeaseScenario(new Random(seed), terms, false);
     }
 
-    /** The same with a log that now and then comes back from a copy. */
-    static ConditionalLeaseScenario restoring(long seed, Terms terms) {
+    /** Returns a scenario whose log is restored from a copy from time to time. */
+    static ConditionalLeaseScenario withRestoredLog(long seed, Terms terms) {
         return new ConditionalLeaseScenario(new Random(seed), terms, true);
     }
 
-    /** A moment at which a process believed that it may give orders. */
-    record Act(String process, long term, long atMillis) {}
+    /** A time at which a process considered itself allowed to act as the holder. */
+    record HolderAction(String process, long term, long atMillis) {}
 
     private record Event(long atMillis, Runnable task) {}
 
-    private record Answer(int run, long sentIn, long era, Runnable task) {}
+    private record Answer(int run, long sentInEra, long era, Runnable task) {}
 
     private final class Process {
         private final String name;
         private final Terms terms;
         private ConditionalLease lease;
-        private int runs;
-        private final FreezeDetector freezes = FreezeDetector.of(0, 0);
-        private long frozenMillis;
+        private int runCount;
+        private final FreezeDetector freezeDetector = FreezeDetector.of(0, 0);
+        private long totalFrozenMillis;
         private long frozenUntilMillis;
-        private long nextWatchMillis;
-        private boolean calling;
+        private long nextPollMillis;
+        private boolean callInProgress;
 
-        /** The newest era heard of; 0 before the first answer. */
+        /** The newest era that a response named; 0 before the first response. */
         private long era;
 
         Process(String name, Terms terms) {
@@ -81,191 +81,198 @@
         }
 
         private ConditionalLease newLease() {
-            runs++;
+            runCount++;
             Optional<Contact> contact = Optional.of(new Contact(name, "secret"));
             return ConditionalLease.of(
-                    name + "-run-" + runs, Optional.of(name), () -> contact, terms);
+                    name + "-run-" + runCount, Optional.of(name), () -> contact, terms);
         }
 
-        // What the run before had sent may still be appended; its answers reach nobody.
-        void startAgain() {
+        // Appends sent by the previous run may still be written; their responses are dropped.
+        void restart() {
             lease = newLease();
-            calling = false;
-            nextWatchMillis = 0;
+            callInProgress = false;
+            nextPollMillis = 0;
             era = 0;
         }
 
-        long steady() {
-            return nowMillis - frozenMillis;
+        long monotonicMillis() {
+            return nowMillis - totalFrozenMillis;
         }
 
-        boolean frozen() {
+        boolean isFrozen() {
             return nowMillis < frozenUntilMillis;
         }
 
-        Optional<Act> step() {
-            if (frozen()) {
-                frozenMillis += STEP_MILLIS;
+        Optional<HolderAction> step() {
+            if (isFrozen()) {
+                totalFrozenMillis += STEP_MILLIS;
                 return Optional.empty();
             }
-            if (freezes.froze(steady(), nowMillis)) {
-                lease.distrust();
+            if (freezeDetector.detectFreeze(monotonicMillis(), nowMillis)) {
+                lease.invalidate();
             }
-            if (!calling) {
-                call();
+            if (!callInProgress) {
+                startCall();
             }
-            OptionalLong term = lease.term(steady());
+            OptionalLong term = lease.term(monotonicMillis());
             return term.isEmpty()
                     ? Optional.empty()
-                    : Optional.of(new Act(name, era * TERMS_PER_ERA + term.getAsLong(), nowMillis));
+                    : Optional.of(
+                            new HolderAction(
+                                    name, era * TERMS_PER_ERA + term.getAsLong(), nowMillis));
         }
 
-        private void call() {
-            if (lease.mustRead() || !lease.holds(steady()) && steady() >= nextWatchMillis) {
-                nextWatchMillis = steady() + WATCH_MILLIS;
+        private void startCall() {
+            if (lease.mustRead()
+                    || !lease.holds(monotonicMillis()) && monotonicMillis() >= nextPollMillis) {
+                nextPollMillis = monotonicMillis() + POLL_INTERVAL_MILLIS;
                 read();
                 return;
             }
-            lease.tick(steady()).ifPresent(this::append);
+            lease.tick(monotonicMillis()).ifPresent(this::append);
         }
 
         private void read() {
-            calling = true;
-            long sentIn = era;
-            after(latency(), () -> readAtLog(sentIn));
+            callInProgress = true;
+            long sentInEra = era;
+            schedule(latency(), () -> readAtLog(sentInEra));
         }
 
-        private void readAtLog(long sentIn) {
+        private void readAtLog(long sentInEra) {
             int from = (int) lease.readFrom();
-            if (nowMillis < awayUntilMillis || from > log.size()) {
-                answer(sentIn, () -> {});
+            if (nowMillis < logUnavailableUntilMillis || from > log.size()) {
+                answer(sentInEra, () -> {});
                 return;
             }
             List<LeaseRecord> records = List.copyOf(log.subList(from, log.size()));
             answer(
-                    sentIn,
+                    sentInEra,
                     () -> {
                         long offset = from;
                         for (LeaseRecord content : records) {
-                            lease.read(offset++, content, steady());
+                            lease.read(offset++, content, monotonicMillis());
                         }
-                        lease.readAll(steady());
+                        lease.caughtUp(monotonicMillis());
                     });
         }
 
         private void append(Append append) {
-            calling = true;
-            long sentIn = era;
-            boolean late = !calm && random.nextInt(12) == 0;
-            boolean lost = late || !calm && random.nextInt(12) == 0;
-            after(
+            callInProgress = true;
+            long sentInEra = era;
+            boolean late = !failuresEnded && random.nextInt(12) == 0;
+            boolean lost = late || !failuresEnded && random.nextInt(12) == 0;
+            schedule(
                     latency() + (late ? 1_000 + random.nextInt(5_000) : 0),
-                    () -> write(append, sentIn, lost));
+                    () -> write(append, sentInEra, lost));
             if (lost) {
-                after(1_500, () -> answer(sentIn, lease::unanswered));
+                schedule(1_500, () -> answer(sentInEra, lease::appendUnanswered));
             }
         }
 
-        private void write(Append append, long sentIn, boolean lost) {
-            if (nowMillis < awayUntilMillis) {
-                answerUnless(lost, sentIn, lease::refused);
+        private void write(Append append, long sentInEra, boolean lost) {
+            if (nowMillis < logUnavailableUntilMillis) {
+                answerUnlessLost(lost, sentInEra, lease::appendRejected);
             } else if (log.size() != append.expectedEnd()) {
-                answerUnless(lost, sentIn, lease::conflict);
+                answerUnlessLost(lost, sentInEra, lease::appendConflicted);
             } else {
                 log.add(append.content());
                 long offset = log.size() - 1;
-                answerUnless(lost, sentIn, () -> lease.appended(offset, steady()));
+                answerUnlessLost(lost, sentInEra, () -> lease.appended(offset, monotonicMillis()));
             }
         }
 
-        private void answerUnless(boolean lost, long sentIn, Runnable task) {
+        private void answerUnlessLost(boolean lost, long sentInEra, Runnable task) {
             if (!lost) {
-                answer(sentIn, task);
+                answer(sentInEra, task);
             }
         }
 
-        private void answer(long sentIn, Runnable task) {
-            answer(new Answer(runs, sentIn, logEra, task));
+        private void answer(long sentInEra, Runnable task) {
+            answer(new Answer(runCount, sentInEra, logEra, task));
         }
 
         private void answer(Answer answer) {
-            after(
+            schedule(
                     latency(),
                     () -> {
-                        if (answer.run() != runs) {
+                        if (answer.run() != runCount) {
                             return;
                         }
-                        if (frozen()) {
+                        if (isFrozen()) {
                             events.add(new Event(frozenUntilMillis, () -> answer(answer)));
                             return;
                         }
-                        if (freezes.froze(steady(), nowMillis)) {
-                            lease.distrust();
+                        if (freezeDetector.detectFreeze(monotonicMillis(), nowMillis)) {
+                            lease.invalidate();
                         }
-                        calling = false;
-                        take(answer);
+                        callInProgress = false;
+                        deliver(answer);
                     });
         }
 
-        // As the store's client does: an answer of another era than the call's says nothing.
-        private void take(Answer answer) {
+        // Follows the client of the store: a response of another era than that of the call says
+        // nothing about its outcome.
+        private void deliver(Answer answer) {
             if (answer.era() > Math.max(FIRST_ERA, era)) {
-                lease.restored(steady());
+                lease.logRestored(monotonicMillis());
             }
             era = Math.max(era, answer.era());
-            boolean holds = answer.era() == era && (answer.sentIn() == 0 || answer.sentIn() == era);
-            if (holds) {
+            boolean valid =
+                    answer.era() == era && (answer.sentInEra() == 0 || answer.sentInEra() == era);
+            if (valid) {
                 answer.task().run();
             } else {
-                lease.unanswered();
+                lease.appendUnanswered();
             }
         }
     }
 
-    private void after(long delayMillis, Runnable task) {
+    private void schedule(long delayMillis, Runnable task) {
         events.add(new Event(nowMillis + delayMillis, task));
     }
 
     private long latency() {
-        return calm || random.nextInt(10) > 0 ? 2 + random.nextInt(5) : random.nextInt(400);
+        return failuresEnded || random.nextInt(10) > 0
+                ? 2 + random.nextInt(5)
+                : random.nextInt(400);
     }
 
-    /** Ends the failures. */
-    void calm() {
-        calm = true;
-        awayUntilMillis = 0;
+    /** Stops injecting failures. */
+    void endFailures() {
+        failuresEnded = true;
+        logUnavailableUntilMillis = 0;
     }
 
-    List<Act> run(long millis) {
-        List<Act> acts = new ArrayList<>();
-        long until = nowMillis + millis;
-        while (nowMillis < until) {
+    List<HolderAction> run(long millis) {
+        List<HolderAction> actions = new ArrayList<>();
+        long untilMillis = nowMillis + millis;
+        while (nowMillis < untilMillis) {
             nowMillis += STEP_MILLIS;
-            fail();
+            injectFailures();
             while (!events.isEmpty() && events.peek().atMillis <= nowMillis) {
                 events.poll().task.run();
             }
-            processes.forEach(process -> process.step().ifPresent(acts::add));
+            processes.forEach(process -> process.step().ifPresent(actions::add));
         }
-        return acts;
+        return actions;
     }
 
-    private void fail() {
-        if (calm) {
+    private void injectFailures() {
+        if (failuresEnded) {
             return;
         }
         if (random.nextInt(500) == 0) {
-            awayUntilMillis = nowMillis + random.nextInt(6_000);
+            logUnavailableUntilMillis = nowMillis + random.nextInt(6_000);
         }
         if (random.nextInt(300) == 0) {
             Process victim = processes.get(random.nextInt(PROCESSES));
             victim.frozenUntilMillis = nowMillis + 200 + random.nextInt(7_000);
         }
         if (random.nextInt(400) == 0) {
-            processes.get(random.nextInt(PROCESSES)).startAgain();
+            processes.get(random.nextInt(PROCESSES)).restart();
         }
-        if (restores && random.nextInt(600) == 0) {
-            int kept = Math.max(0, log.size() - random.nextInt(MOST_RECORDS_LOST));
+        if (logIsRestored && random.nextInt(600) == 0) {
+            int kept = Math.max(0, log.size() - random.nextInt(MAXIMUM_RECORDS_LOST));
             log.subList(kept, log.size()).clear();
             logEra++;
         }
--- a/core/src/test/java/org/tamaracktrack/core/lease/LeaseScenario.java
+++ b/core/src/test/java/org/tamaracktrack/core/lease/LeaseManagerScenario.java
@@ -11,9 +11,12 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** Three keepers of one duty before a log with delays, lost answers, outages, and long pauses. */
-final class LeaseScenario {
-    static final long DURATION_MILLIS = 10_000;
+/**
+ * Simulates three processes that compete for one duty, with delayed appends, lost responses,
+ * outages of the log and long pauses of processes.
+ */
+final class LeaseManagerScenario {
+    static final long LEASE_DURATION_MILLIS = 10_000;
     private static final long STEP_MILLIS = 100;
 
     private final Random random;
@@ -22,55 +25,59 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atMillis));
     private long nowMillis;
-    private long outUntilMillis;
+    private long logUnavailableUntilMillis;
     private int steps;
-    private boolean calm;
+    private boolean failuresEnded;
 
     private record Event(long atMillis, Runnable action) {}
 
     private static final class Process {
         private final IncarnationId id;
-        private final LeaseKeeper keeper;
-        private int read;
+        private final LeaseManager manager;
+        private int nextOffset;
         private long pausedUntilMillis;
 
-        private Process(IncarnationId id, LeaseKeeper keeper) {
+        private Process(IncarnationId id, LeaseManager keeper) {
             this.id = id;
-            this.keeper = keeper;
+            this.manager = keeper;
         }
     }
 
-    private LeaseScenario(long seed) {
+    private LeaseManagerScenario(long seed) {
         this.random = new Random(seed);
         for (int index = 0; index < 3; index++) {
             IncarnationId id = IncarnationId.of("entry-" + index);
             processes.add(
                     new Process(
                             id,
-                            LeaseKeeper.of(
-                                    Duty.PLANNER, id, DURATION_MILLIS, random.nextInt(2_000), 0)));
+                            LeaseManager.of(
+                                    Duty.PLANNER,
+                                    id,
+                                    LEASE_DURATION_MILLIS,
+                                    random.nextInt(2_000),
+                                    0)));
         }
     }
 
-    static LeaseScenario of(long seed) {
-        return new LeaseScenario(seed);
+    static LeaseManagerScenario of(long seed) {
+        return new LeaseManagerScenario(seed);
     }
 
-    /** No more failures from now on. */
-    void calm() {
-        calm = true;
-        outUntilMillis = 0;
+    /** Stops injecting failures. */
+    void endFailures() {
+        failuresEnded = true;
+        logUnavailableUntilMillis = 0;
     }
 
-    void run(int count, Consumer<LeaseScenario> check) {
+    void run(int count, Consumer<LeaseManagerScenario> check) {
         for (int step = 0; step < count; step++) {
             nowMillis += STEP_MILLIS;
             steps++;
             while (!events.isEmpty() && events.peek().atMillis() <= nowMillis) {
                 events.remove().action().run();
             }
-            if (!calm && random.nextInt(400) == 0) {
-                outUntilMillis = nowMillis + random.nextInt(30_000);
+            if (!failuresEnded && random.nextInt(400) == 0) {
+                logUnavailableUntilMillis = nowMillis + random.nextInt(30_000);
             }
             processes.forEach(this::step);
             check.accept(this);
@@ -78,7 +85,7 @@
     }
 
     private void step(Process process) {
-        if (!calm && random.nextInt(300) == 0) {
+        if (!failuresEnded && random.nextInt(300) == 0) {
             process.pausedUntilMillis = nowMillis + random.nextInt(25_000);
         }
         if (nowMillis < process.pausedUntilMillis) {
@@ -87,35 +94,35 @@
         if (random.nextInt(3) == 0) {
             read(process);
         }
-        process.keeper.tick(nowMillis).ifPresent(entry -> send(process, entry));
+        process.manager.tick(nowMillis).ifPresent(entry -> send(process, entry));
     }
 
     private void read(Process process) {
-        if (nowMillis < outUntilMillis) {
+        if (nowMillis < logUnavailableUntilMillis) {
             return;
         }
-        while (process.read < log.size()) {
-            process.keeper.handle(log.get(process.read++), nowMillis);
+        while (process.nextOffset < log.size()) {
+            process.manager.handle(log.get(process.nextOffset++), nowMillis);
         }
     }
 
     private void send(Process process, LogEntry entry) {
         long sentAtMillis = nowMillis;
-        if (nowMillis < outUntilMillis) {
-            process.keeper.failed(nowMillis);
+        if (nowMillis < logUnavailableUntilMillis) {
+            process.manager.appendFailed(nowMillis);
             return;
         }
-        long arrivesMillis = nowMillis + (calm ? 50 : random.nextInt(4_000));
-        boolean answerLost = !calm && random.nextInt(6) == 0;
+        long arrivalMillis = nowMillis + (failuresEnded ? 50 : random.nextInt(4_000));
+        boolean responseLost = !failuresEnded && random.nextInt(6) == 0;
         events.add(
                 new Event(
-                        arrivesMillis,
+                        arrivalMillis,
                         () -> {
                             long offset = append(entry);
-                            if (answerLost) {
-                                process.keeper.failed(nowMillis);
+                            if (responseLost) {
+                                process.manager.appendFailed(nowMillis);
                             } else {
-                                process.keeper.appended(offset, sentAtMillis);
+                                process.manager.appended(offset, sentAtMillis);
                             }
                         }));
     }
@@ -125,29 +132,32 @@
         return log.size() - 1;
     }
 
-    /** Processes that trust their lease now, those that are paused included. */
-    List<IncarnationId> believers() {
+    /**
+     * Returns the processes whose lease is valid now by their own view, including those that are
+     * paused.
+     */
+    List<IncarnationId> processesWithValidLease() {
         return processes.stream()
-                .filter(process -> process.keeper.term(nowMillis).isPresent())
+                .filter(process -> process.manager.term(nowMillis).isPresent())
                 .map(process -> process.id)
                 .toList();
     }
 
-    /** The holder as a reader of the whole log sees it. */
+    /** Returns the holder that a reader of the whole log derives. */
     Optional<IncarnationId> holder() {
         LeaseRegister register = LeaseRegister.empty();
         log.forEach(register::handle);
         return register.inForceAt(Duty.PLANNER, nowMillis).map(Lease::holder);
     }
 
-    /** A reader of the log from an offset on. */
+    /** Returns the register of a reader that starts at an offset. */
     LeaseRegister readFrom(int offset) {
         LeaseRegister register = LeaseRegister.empty();
         log.stream().skip(offset).forEach(register::handle);
         return register;
     }
 
-    int records() {
+    int recordCount() {
         return log.size();
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/lease/LeaseRegisterTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/lease/LeaseRegisterTest.java
@@ -38,9 +38,9 @@
         assertThat(register.inForceAt(Duty.PLANNER, 14_999)).isPresent();
     }
 
-    // The holder is paused, its lease lapses, another is granted and lapses too. The first wakes
-    // and
-    // renews: granted, its plans from before the pause would be in force again.
+    // The holder is paused and its lease expires; another process is granted the duty, and that
+    // lease expires too. The first process resumes and renews. If that were granted, its plans from
+    // before the pause would be in force again.
     @Test
     void shouldRefuseARenewalWhenAnotherWasGrantedSince() {
         take(0, 0, FIRST, -1);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void shouldGrantAtOnceWhenReleased() {
+    void shouldGrantImmediatelyWhenReleased() {
         take(0, 0, FIRST, -1);
         register.handle(LogRecord.of(1, 1_000, new LogEntry.LeaseReleased("planner", FIRST)));
 
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void shouldIgnoreAReleaseWhenItIsNotTheHolders() {
+    void shouldIgnoreAReleaseByAProcessThatIsNotTheHolder() {
         take(0, 0, FIRST, -1);
         register.handle(LogRecord.of(1, 1_000, new LogEntry.LeaseReleased("planner", SECOND)));
 
@@ -68,12 +68,12 @@
     }
 
     @Test
-    void shouldRefuseWhenARecordRenewsATermFromTheFuture() {
+    void shouldRefuseARenewalOfATermNotYetGranted() {
         assertThat(take(0, 0, FIRST, 99)).isFalse();
     }
 
     @Test
-    void shouldCutALeaseWhenItsDurationIsAbsurd() {
+    void shouldLimitALeaseToTheMaximumDuration() {
         register.handle(
                 LogRecord.of(0, 0, new LogEntry.LeaseTaken("planner", FIRST, Long.MAX_VALUE, -1)));
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
@@ -97,7 +97,7 @@
         boolean valid() {
             long steadyMillis = ControlThread.nowMillis();
             return steadyMillis < untilMillis
-                    && !FreezeDetector.apart(
+                    && !FreezeDetector.clocksDiverged(
                             clockDifference, steadyMillis, System.currentTimeMillis());
         }
     }
@@ -112,7 +112,7 @@
                 : Optional.of(
                         new Permit(
                                 fencingNumber(term.getAsLong()),
-                                lease.trustedUntilMillis(),
+                                lease.validUntilMillis(),
                                 System.currentTimeMillis() - steadyMillis,
                                 term.getAsLong() == FIRST_TERM && topics.era().restores() == 0));
     }
@@ -124,7 +124,7 @@
 
     private void restored() {
         LOG.warn("event=lease-void held=" + held);
-        lease.restored(ControlThread.nowMillis());
+        lease.logRestored(ControlThread.nowMillis());
         nextWatchMillis = 0;
     }
 
@@ -135,9 +135,9 @@
     }
 
     private void noticeFreeze() {
-        if (freezes.froze(ControlThread.nowMillis(), System.currentTimeMillis())) {
+        if (freezes.detectFreeze(ControlThread.nowMillis(), System.currentTimeMillis())) {
             LOG.warn("event=clock-jump lease_held=" + held);
-            lease.distrust();
+            lease.invalidate();
         }
     }
 
@@ -166,7 +166,7 @@
     private void tick() {
         noticeFreeze();
         noteChange();
-        relay.holder(lease.holds(ControlThread.nowMillis()), lease.otherHolder());
+        relay.holder(lease.holds(ControlThread.nowMillis()), lease.otherHolderContact());
         if (calling) {
             return;
         }
@@ -197,7 +197,7 @@
         calling = false;
         long nowMillis = ControlThread.nowMillis();
         if (answer instanceof TopicAnswer.Expired<RecordBatch> expired) {
-            lease.skipped(expired.first(), nowMillis);
+            lease.recordsExpired(expired.first(), nowMillis);
         } else if (answer instanceof TopicAnswer.Done<RecordBatch> done) {
             noticeEarlierRestore();
             take(done.value(), nowMillis);
@@ -210,7 +210,7 @@
     // Somebody may hold by a record that is gone.
     private void noticeEarlierRestore() {
         if (!eraKnown && topics.era().newest() > FIRST_ERA) {
-            lease.restored(ControlThread.nowMillis());
+            lease.logRestored(ControlThread.nowMillis());
         }
         eraKnown = true;
     }
@@ -222,7 +222,7 @@
             DutyRecords.lease(record).ifPresent(content -> lease.read(at, content, nowMillis));
         }
         if (batch.next() >= batch.end()) {
-            lease.readAll(nowMillis);
+            lease.caughtUp(nowMillis);
         } else {
             read();
         }
@@ -241,11 +241,11 @@
             lease.appended(done.value(), ControlThread.nowMillis());
             relay.publish(part, new RecordBatch(done.value(), record, done.value() + 1));
         } else if (answer instanceof TopicAnswer.Conflict<Long>) {
-            lease.conflict();
+            lease.appendConflicted();
         } else if (answer instanceof TopicAnswer.Unknown<Long>) {
-            lease.unanswered();
+            lease.appendUnanswered();
         } else {
-            lease.refused();
+            lease.appendRejected();
         }
         noteChange();
         leaving.ifPresent(this::release);
@@ -270,7 +270,7 @@
         if (calling) {
             return;
         }
-        Optional<ConditionalLease.Append> release = lease.leave(ControlThread.nowMillis());
+        Optional<ConditionalLease.Append> release = lease.release(ControlThread.nowMillis());
         if (release.isPresent()) {
             append(release.get());
         } else {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/Duties.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/Duties.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import org.tamaracktrack.core.lease.Duty;
-import org.tamaracktrack.core.lease.LeaseKeeper;
+import org.tamaracktrack.core.lease.LeaseManager;
 import org.tamaracktrack.core.log.LogRecord;
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.core.placement.PlacementKind;
@@ -82,8 +82,8 @@
     }
 
     private DutyLease lease(Duty duty) {
-        LeaseKeeper keeper =
-                LeaseKeeper.of(
+        LeaseManager keeper =
+                LeaseManager.of(
                         duty,
                         runtime.incarnation(),
                         LEASE_MILLIS,
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/DutyLease.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/DutyLease.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.error.ErrorCode;
-import org.tamaracktrack.core.lease.LeaseKeeper;
+import org.tamaracktrack.core.lease.LeaseManager;
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogRecord;
 import org.tamaracktrack.core.log.LogStream;
@@ -15,18 +15,18 @@
     private static final Logger LOG = Logger.getLogger(DutyLease.class);
 
     private final String duty;
-    private final LeaseKeeper keeper;
+    private final LeaseManager keeper;
     private final DutyAppender appender;
     private volatile long trustedUntilMillis = Long.MIN_VALUE;
     private boolean holding;
 
-    private DutyLease(String duty, LeaseKeeper keeper, DutyAppender appender) {
+    private DutyLease(String duty, LeaseManager keeper, DutyAppender appender) {
         this.duty = duty;
         this.keeper = keeper;
         this.appender = appender;
     }
 
-    static DutyLease of(String duty, LeaseKeeper keeper, DutyAppender appender) {
+    static DutyLease of(String duty, LeaseManager keeper, DutyAppender appender) {
         return new DutyLease(duty, keeper, appender);
     }
 
@@ -43,7 +43,7 @@
     }
 
     private void observe() {
-        trustedUntilMillis = keeper.trustedUntilMillis();
+        trustedUntilMillis = keeper.validUntilMillis();
         boolean now = term().isPresent();
         if (now != holding) {
             holding = now;
@@ -77,7 +77,7 @@
 
         @Override
         public void onFailed(ErrorCode code) {
-            keeper.failed(ControlThread.nowMillis());
+            keeper.appendFailed(ControlThread.nowMillis());
         }
     }
 }
