--- a/bench/src/main/java/org/tamaracktrack/bench/cost/DecisionCosts.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/cost/DecisionCosts.java
@@ -15,9 +15,9 @@
 import org.tamaracktrack.core.admission.AdmissionAction;
 import org.tamaracktrack.core.admission.AdmissionLimits;
 import org.tamaracktrack.core.admission.AdmissionMessage;
+import org.tamaracktrack.core.admission.AdmissionRequest;
 import org.tamaracktrack.core.admission.FairAdmission;
 import org.tamaracktrack.core.admission.Need;
-import org.tamaracktrack.core.admission.Work;
 import org.tamaracktrack.core.config.Configuration;
 import org.tamaracktrack.core.id.AcceleratorId;
 import org.tamaracktrack.core.id.AttemptId;
@@ -77,8 +77,8 @@
                 micros.get(micros.size() - 1) - micros.get(0));
     }
 
-    private static Work work(Random random, long number, int accounts) {
-        return new Work(
+    private static AdmissionRequest work(Random random, long number, int accounts) {
+        return new AdmissionRequest(
                 AttemptId.of(ENTRY, number, 0),
                 ClientAccountId.of("account-" + random.nextInt(accounts)),
                 CLASS,
@@ -131,7 +131,7 @@
                                     2)
                             .stream()
                             .filter(action -> action instanceof AdmissionAction.Start)
-                            .forEach(action -> running.add(action.work().attempt()));
+                            .forEach(action -> running.add(action.request().attempt()));
                 });
     }
 
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.tamaracktrack.core.admission.AdmissionLimits;
 import org.tamaracktrack.core.admission.AdmissionMessage;
+import org.tamaracktrack.core.admission.AdmissionRequest;
 import org.tamaracktrack.core.admission.FairAdmission;
 import org.tamaracktrack.core.admission.Need;
-import org.tamaracktrack.core.admission.Work;
 import org.tamaracktrack.core.config.Configuration;
 import org.tamaracktrack.core.id.AcceleratorId;
 import org.tamaracktrack.core.id.AttemptId;
@@ -164,8 +164,8 @@
         return Need.of(Fleet.model(0));
     }
 
-    private static Work work(long number) {
-        return new Work(
+    private static AdmissionRequest work(long number) {
+        return new AdmissionRequest(
                 attempt(number),
                 account(number),
                 Fleet.INTERACTIVE,
--- a/core/src/main/java/org/tamaracktrack/core/admission/AccountQueue.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/AccountQueue.java
@@ -8,7 +8,7 @@
 /** The waiting requests of one client account in one class, and its virtual time there. */
 final class AccountQueue {
     private final ClientAccountId account;
-    private final Map<AttemptId, Work> waiting = new LinkedHashMap<>();
+    private final Map<AttemptId, AdmissionRequest> waiting = new LinkedHashMap<>();
     private double virtualTime;
     private int running;
 
@@ -25,7 +25,7 @@
         return account;
     }
 
-    Map<AttemptId, Work> waiting() {
+    Map<AttemptId, AdmissionRequest> waiting() {
         return waiting;
     }
 
@@ -37,17 +37,18 @@
         return running;
     }
 
-    // An account that was idle starts level with those being served: time spent idle earns nothing,
-    // or its saved-up share would shut the others out when it returns.
-    void add(Work work, double servedUpTo) {
+    // An account that was idle starts with the virtual time of the accounts being served. If idle
+    // time were credited, a returning account would keep all others from being served until it had
+    // used up its credit.
+    void add(AdmissionRequest request, double servedVirtualTime) {
         if (waiting.isEmpty()) {
-            virtualTime = Math.max(virtualTime, servedUpTo);
+            virtualTime = Math.max(virtualTime, servedVirtualTime);
         }
-        waiting.put(work.attempt(), work);
+        waiting.put(request.attempt(), request);
     }
 
-    Work removeFirst() {
-        Work first = waiting.values().iterator().next();
+    AdmissionRequest removeFirst() {
+        AdmissionRequest first = waiting.values().iterator().next();
         waiting.remove(first.attempt());
         running++;
         return first;
@@ -57,7 +58,7 @@
         virtualTime += cost;
     }
 
-    void ended() {
+    void requestEnded() {
         running--;
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/admission/AdmissionAction.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/AdmissionAction.java
@@ -2,30 +2,31 @@
 
 import org.tamaracktrack.core.error.ErrorCode;
 
-/** What admission decided. */
+/** An action that an admission policy decided on. */
 public sealed interface AdmissionAction {
 
     /**
-     * Returns the request that it is about.
+     * Returns the request that the action concerns.
      *
      * @return the request
      */
-    Work work();
+    AdmissionRequest request();
 
     /**
-     * Run the request now.
+     * Starts the request now.
      *
-     * @param work the request
-     * @param queuedMillis how long it waited
+     * @param request the request
+     * @param queuedMillis how long the request waited, in milliseconds
      */
-    record Start(Work work, long queuedMillis) implements AdmissionAction {}
+    record Start(AdmissionRequest request, long queuedMillis) implements AdmissionAction {}
 
     /**
-     * Refuse the request: it did not run.
+     * Refuses the request, which did not run.
      *
-     * @param work the request
-     * @param code why
-     * @param retryAfterMillis when trying again makes sense, or -1
+     * @param request the request
+     * @param code the reason
+     * @param retryAfterMillis after how many milliseconds a retry makes sense, or -1
      */
-    record Refuse(Work work, ErrorCode code, long retryAfterMillis) implements AdmissionAction {}
+    record Refuse(AdmissionRequest request, ErrorCode code, long retryAfterMillis)
+            implements AdmissionAction {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/admission/AdmissionKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/AdmissionKind.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 
-/** The admission policies that a target can run. */
+/** The kinds of admission policy that a target can use. */
 public enum AdmissionKind {
-    /** {@link FairAdmission}. */
+    /** Weighted fair queueing: {@link FairAdmission}. */
     FAIR,
-    /** {@link FifoAdmission}. */
+    /** First in, first out: {@link FifoAdmission}. */
     FIFO;
 
     /**
-     * Returns the name in settings.
+     * Returns the name of the policy in settings.
      *
      * @return the name
      */
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Returns a policy of this kind with nothing waiting.
+     * Returns a policy of this kind without queued requests.
      *
-     * @param limits the limits it keeps
+     * @param limits the limits that the policy enforces
      * @return the policy
      */
     public AdmissionPolicy policy(AdmissionLimits limits) {
--- a/core/src/main/java/org/tamaracktrack/core/admission/AdmissionLimits.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/AdmissionLimits.java
@@ -7,10 +7,10 @@
 import org.tamaracktrack.core.id.RequestClassId;
 
 /**
- * The limits that admission keeps. Share, cap and queue bound are three different limits; the
- * fourth, the rate, is kept by the entry daemons.
+ * The limits that admission control enforces. Share, cap and queue limit are three independent
+ * limits; a fourth, the request rate, is enforced by the entry daemons.
  *
- * @param concurrency how many requests the target runs at once
+ * @param concurrency the maximum number of requests that the target runs at the same time
  * @param classes the limits of each class
  * @param accounts the limits of each client account
  */
@@ -29,25 +29,25 @@
     /**
      * The limits of a class.
      *
-     * @param weight its share against the other classes, above 0
-     * @param queueLimit how many of its requests may wait
+     * @param weight its weight relative to the other classes, above 0
+     * @param queueLimit the maximum number of its requests that wait
      */
     public record ClassLimits(int weight, int queueLimit) {}
 
     /**
      * The limits of a client account.
      *
-     * @param share its weight within a class, above 0
-     * @param cap how many of its requests run at once
-     * @param queueLimit how many of its requests may wait
+     * @param share its weight relative to the other accounts within a class, above 0
+     * @param cap the maximum number of its requests that run at the same time
+     * @param queueLimit the maximum number of its requests that wait
      */
     public record AccountLimits(int share, int cap, int queueLimit) {}
 
     /**
-     * Returns the limits that a configuration sets.
+     * Returns the limits that a configuration sets for a target.
      *
      * @param configuration the configuration
-     * @param concurrency how many requests the target runs at once
+     * @param concurrency the maximum number of requests that the target runs at the same time
      * @return the limits
      */
     public static AdmissionLimits of(Configuration configuration, int concurrency) {
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Returns the limits of a class. An entry daemon may know a newer configuration than the target
-     * does, so a class that is not listed has small limits instead of none.
+     * Returns the limits of a class. An entry daemon may use a newer configuration than the target,
+     * so a class that is not listed gets low limits instead of being refused.
      *
      * @param id the class
      * @return its limits
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Returns the limits of a client account, small ones if it is not listed.
+     * Returns the limits of a client account, or low limits if it is not listed.
      *
-     * @param id the account
+     * @param id the client account
      * @return its limits
      */
     public AccountLimits limitsOf(ClientAccountId id) {
--- a/core/src/main/java/org/tamaracktrack/core/admission/AdmissionMessage.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/AdmissionMessage.java
@@ -5,50 +5,50 @@
 import java.util.Set;
 import org.tamaracktrack.core.id.AttemptId;
 
-/** What admission hears. */
+/** An event that an admission policy handles. */
 public sealed interface AdmissionMessage {
-    /** Stands for a need that can't be met as things are. */
+    /** The delay of a need that cannot be met at present. */
     long NEVER = Long.MAX_VALUE / 4;
 
     /**
      * A request arrived.
      *
-     * @param work the request
+     * @param request the request
      */
-    record Arrived(Work work) implements AdmissionMessage {
+    record Arrived(AdmissionRequest request) implements AdmissionMessage {
 
         /** Checks the argument. */
         public Arrived {
-            Objects.requireNonNull(work, "work is null");
+            Objects.requireNonNull(request, "work is null");
         }
     }
 
     /**
-     * The caller gave a request up; nothing happens unless it is waiting.
+     * The caller cancelled a request; ignored unless the request is waiting.
      *
-     * @param attempt the request
+     * @param attempt the attempt of the request
      */
     record Cancelled(AttemptId attempt) implements AdmissionMessage {}
 
     /**
-     * The first token of a running request was seen.
+     * A running request produced its first token.
      *
-     * @param attempt the request
+     * @param attempt the attempt of the request
      */
     record FirstToken(AttemptId attempt) implements AdmissionMessage {}
 
     /**
      * A running request ended, whatever its outcome.
      *
-     * @param attempt the request
-     * @param tokens what it cost; empty when that is not known
+     * @param attempt the attempt of the request
+     * @param tokens the actual number of tokens; empty when it is not known
      */
     record Ended(AttemptId attempt, OptionalInt tokens) implements AdmissionMessage {}
 
     /**
-     * What is in memory changed.
+     * The set of models and adapters in accelerator memory changed.
      *
-     * @param ready every need that is met
+     * @param ready the needs that are met now
      */
     record ReadyChanged(Set<Need> ready) implements AdmissionMessage {
 
@@ -59,10 +59,12 @@
     }
 
     /**
-     * A need will be met later: what can't wait that long is refused.
+     * A need will be met only after a delay. Waiting requests that cannot wait that long are
+     * refused.
      *
      * @param need the need
-     * @param readyInMillis when it will be met at the soonest, or {@link #NEVER}
+     * @param readyInMillis the earliest time at which it can be met, in milliseconds from now, or
+     *     {@link #NEVER}
      */
     record NeedDelayed(Need need, long readyInMillis) implements AdmissionMessage {}
 
@@ -79,6 +81,6 @@
         }
     }
 
-    /** Time passed: what has waited too long is refused. */
+    /** Time has passed: waiting requests that can no longer meet their time limit are refused. */
     record Tick() implements AdmissionMessage {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/admission/Work.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/AdmissionRequest.java
@@ -7,17 +7,17 @@
 import org.tamaracktrack.core.id.RequestClassId;
 
 /**
- * A request that asks to run on the target.
+ * A request submitted to the admission control of a target.
  *
- * @param attempt which attempt it is
- * @param account who asks
- * @param requestClass the class whose objectives hold
- * @param estimatedTokens its estimated cost, 1 or more
- * @param arrivedAtMillis when it arrived
- * @param firstTokenByMillis when its first token is due at the latest
- * @param need what must be in memory; empty for a call to a plain service
+ * @param attempt the attempt of the request
+ * @param account the client account that sent it
+ * @param requestClass the class whose objectives apply
+ * @param estimatedTokens the estimated cost in tokens, at least 1
+ * @param arrivedAtMillis the monotonic time at which it arrived
+ * @param firstTokenByMillis the monotonic time by which its first token is due
+ * @param need the model and adapter that must be in memory; empty for a call to a plain service
  */
-public record Work(
+public record AdmissionRequest(
         AttemptId attempt,
         ClientAccountId account,
         RequestClassId requestClass,
@@ -26,8 +26,8 @@
         long firstTokenByMillis,
         Optional<Need> need) {
 
-    /** Checks the arguments; an estimate below 1 counts as 1. */
-    public Work {
+    /** Checks the arguments, and raises an estimate below 1 to 1. */
+    public AdmissionRequest {
         Objects.requireNonNull(attempt, "attempt is null");
         Objects.requireNonNull(account, "account is null");
         Objects.requireNonNull(requestClass, "requestClass is null");
--- a/core/src/main/java/org/tamaracktrack/core/admission/ClassQueue.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/ClassQueue.java
@@ -12,18 +12,21 @@
 import org.tamaracktrack.core.id.ClientAccountId;
 import org.tamaracktrack.core.id.RequestClassId;
 
-/** The client accounts that have requests of one class, and the class's own virtual time. */
+/**
+ * The queues of the client accounts that have requests of one class, and the virtual time of the
+ * class.
+ */
 final class ClassQueue {
-    private static final Comparator<AccountQueue> NEXT =
+    private static final Comparator<AccountQueue> BY_VIRTUAL_TIME =
             Comparator.comparingDouble(AccountQueue::virtualTime)
                     .thenComparing(AccountQueue::account);
 
-    private record Tagged(double virtualTime, Work work) {}
+    private record ScheduledRequest(double virtualTime, AdmissionRequest request) {}
 
     private final RequestClassId requestClass;
     private final Map<ClientAccountId, AccountQueue> accounts = new HashMap<>();
     private double virtualTime;
-    private double servedUpTo;
+    private double servedVirtualTime;
     private int waiting;
 
     private ClassQueue(RequestClassId requestClass) {
@@ -50,22 +53,22 @@
         return accounts.values();
     }
 
-    void add(Work work, double classesServedUpTo) {
+    void add(AdmissionRequest request, double classesServedVirtualTime) {
         if (waiting == 0) {
-            virtualTime = Math.max(virtualTime, classesServedUpTo);
+            virtualTime = Math.max(virtualTime, classesServedVirtualTime);
         }
-        accounts.computeIfAbsent(work.account(), id -> AccountQueue.of(id, servedUpTo))
-                .add(work, servedUpTo);
+        accounts.computeIfAbsent(request.account(), id -> AccountQueue.of(id, servedVirtualTime))
+                .add(request, servedVirtualTime);
         waiting++;
     }
 
-    boolean remove(Work work) {
-        AccountQueue queue = accounts.get(work.account());
-        if (queue == null || queue.waiting().remove(work.attempt()) == null) {
+    boolean remove(AdmissionRequest request) {
+        AccountQueue queue = accounts.get(request.account());
+        if (queue == null || queue.waiting().remove(request.attempt()) == null) {
             return false;
         }
         waiting--;
-        forgetIfIdle(queue);
+        removeIfIdle(queue);
         return true;
     }
 
@@ -73,56 +76,65 @@
         return accounts.values().stream()
                 .filter(queue -> !queue.waiting().isEmpty())
                 .filter(queue -> mayStart.test(queue.account()))
-                .min(NEXT);
+                .min(BY_VIRTUAL_TIME);
     }
 
-    /** The waiting requests in the order in which they would start if no more came. */
-    List<Work> inStartOrder(ToIntFunction<ClientAccountId> shareOf) {
-        List<Tagged> tagged = new ArrayList<>(waiting);
-        accounts.values().forEach(queue -> tag(queue, shareOf.applyAsInt(queue.account()), tagged));
-        return tagged.stream()
-                .sorted(Comparator.comparingDouble(Tagged::virtualTime))
-                .map(Tagged::work)
+    /**
+     * Returns the waiting requests in the order in which they would start if no further ones
+     * arrived.
+     */
+    List<AdmissionRequest> inStartOrder(ToIntFunction<ClientAccountId> shareOf) {
+        List<ScheduledRequest> scheduled = new ArrayList<>(waiting);
+        accounts.values()
+                .forEach(
+                        queue ->
+                                addScheduled(
+                                        queue, shareOf.applyAsInt(queue.account()), scheduled));
+        return scheduled.stream()
+                .sorted(Comparator.comparingDouble(ScheduledRequest::virtualTime))
+                .map(ScheduledRequest::request)
                 .toList();
     }
 
-    private static void tag(AccountQueue queue, int share, List<Tagged> tagged) {
+    private static void addScheduled(
+            AccountQueue queue, int share, List<ScheduledRequest> scheduled) {
         double virtualTime = queue.virtualTime();
-        for (Work work : queue.waiting().values()) {
-            tagged.add(new Tagged(virtualTime, work));
-            virtualTime += (double) work.estimatedTokens() / share;
+        for (AdmissionRequest request : queue.waiting().values()) {
+            scheduled.add(new ScheduledRequest(virtualTime, request));
+            virtualTime += (double) request.estimatedTokens() / share;
         }
     }
 
-    Work start(AccountQueue queue, int weight, int share) {
-        servedUpTo = Math.max(servedUpTo, queue.virtualTime());
-        Work work = queue.removeFirst();
+    AdmissionRequest start(AccountQueue queue, int weight, int share) {
+        servedVirtualTime = Math.max(servedVirtualTime, queue.virtualTime());
+        AdmissionRequest request = queue.removeFirst();
         waiting--;
-        queue.charge((double) work.estimatedTokens() / share);
-        virtualTime += (double) work.estimatedTokens() / weight;
-        return work;
+        queue.charge((double) request.estimatedTokens() / share);
+        virtualTime += (double) request.estimatedTokens() / weight;
+        return request;
     }
 
-    void ended(Work work, int actualTokens, int weight, int share) {
-        int correction = actualTokens - work.estimatedTokens();
+    void requestEnded(AdmissionRequest request, int actualTokens, int weight, int share) {
+        int correction = actualTokens - request.estimatedTokens();
         virtualTime += (double) correction / weight;
-        AccountQueue queue = accounts.get(work.account());
+        AccountQueue queue = accounts.get(request.account());
         if (queue != null) {
             queue.charge((double) correction / share);
-            queue.ended();
-            forgetIfIdle(queue);
+            queue.requestEnded();
+            removeIfIdle(queue);
         }
     }
 
-    // Memory follows the accounts in use. One that is ahead of the others is kept for a while, or
-    // it would shed its debt by falling idle for a moment.
-    private void forgetIfIdle(AccountQueue queue) {
-        if (queue.isIdle() && queue.virtualTime() <= servedUpTo) {
+    // Removes the queues of idle accounts to bound the memory. An account whose virtual time is
+    // ahead is kept, or it could reset its virtual time by being idle for a moment.
+    private void removeIfIdle(AccountQueue queue) {
+        if (queue.isIdle() && queue.virtualTime() <= servedVirtualTime) {
             accounts.remove(queue.account());
         }
     }
 
-    void forgetIdle() {
-        accounts.values().removeIf(queue -> queue.isIdle() && queue.virtualTime() <= servedUpTo);
+    void removeIdleAccounts() {
+        accounts.values()
+                .removeIf(queue -> queue.isIdle() && queue.virtualTime() <= servedVirtualTime);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/admission/FairAdmission.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/FairAdmission.java
@@ -22,39 +22,40 @@
 import org.tamaracktrack.core.id.RequestClassId;
 
 /**
- * Classes by weight, and client accounts by share inside a class, each by start-time fair queueing:
- * the one with the least virtual time goes next, and a start costs it its estimated tokens divided
- * by its weight. Work that can no longer meet its class is refused at once.
+ * Schedules classes by weight, and client accounts by share within a class, each with start-time
+ * fair queueing: the queue with the lowest virtual time is served next, and each start advances its
+ * virtual time by the estimated tokens divided by its weight or share. Requests that can no longer
+ * meet the objectives of their class are refused immediately.
  */
 public final class FairAdmission implements AdmissionPolicy {
-    private static final long SHORTEST_RETRY_MILLIS = 100;
-    private static final long LONGEST_RETRY_MILLIS = 5_000;
+    private static final long MINIMUM_RETRY_AFTER_MILLIS = 100;
+    private static final long MAXIMUM_RETRY_AFTER_MILLIS = 5_000;
 
     private final Map<RequestClassId, ClassQueue> classes = new HashMap<>();
-    private final Map<AttemptId, Work> waiting = new LinkedHashMap<>();
-    private final Map<AttemptId, Work> unmet = new LinkedHashMap<>();
+    private final Map<AttemptId, AdmissionRequest> waiting = new LinkedHashMap<>();
+    private final Map<AttemptId, AdmissionRequest> waitingForNeed = new LinkedHashMap<>();
     private final Map<AttemptId, Running> running = new HashMap<>();
     private final Map<ClientAccountId, Integer> runningByAccount = new HashMap<>();
     private final Map<ClientAccountId, Integer> waitingByAccount = new HashMap<>();
     private final Map<RequestClassId, Integer> waitingByClass = new HashMap<>();
-    private final ServiceTimes times = ServiceTimes.empty();
-    private final WaitEstimate estimate = WaitEstimate.create();
+    private final ServiceTimes serviceTimes = ServiceTimes.empty();
+    private final WaitEstimator waitEstimator = WaitEstimator.create();
     private Set<Need> ready = Set.of();
-    private double servedUpTo;
+    private double servedVirtualTime;
     private AdmissionLimits limits;
 
-    private record Next(ClassQueue queue, AccountQueue account) {}
+    private record Candidate(ClassQueue queue, AccountQueue account) {}
 
-    private record Running(Work work, long startedAtMillis) {}
+    private record Running(AdmissionRequest request, long startedAtMillis) {}
 
     private FairAdmission(AdmissionLimits limits) {
         this.limits = limits;
     }
 
     /**
-     * Returns a policy with nothing waiting.
+     * Returns a policy without queued requests.
      *
-     * @param limits the limits it keeps
+     * @param limits the limits that the policy enforces
      * @return the policy
      */
     public static FairAdmission of(AdmissionLimits limits) {
@@ -67,7 +68,7 @@
         Objects.requireNonNull(message, "message is null");
         List<AdmissionAction> actions = new ArrayList<>();
         if (message instanceof AdmissionMessage.Arrived arrived) {
-            arrived(arrived.work(), nowMillis, actions);
+            arrived(arrived.request(), nowMillis, actions);
         } else if (message instanceof AdmissionMessage.Cancelled cancelled) {
             cancelled(cancelled.attempt(), actions);
         } else if (message instanceof AdmissionMessage.FirstToken first) {
@@ -83,184 +84,204 @@
         } else {
             refuseLate(nowMillis, actions);
         }
-        startWhatFits(nowMillis, actions);
+        startRequests(nowMillis, actions);
         return actions;
     }
 
-    private void arrived(Work work, long nowMillis, List<AdmissionAction> actions) {
-        Optional<AdmissionAction> refusal = refusalOnArrival(work, nowMillis);
+    private void arrived(AdmissionRequest request, long nowMillis, List<AdmissionAction> actions) {
+        Optional<AdmissionAction> refusal = refusalOnArrival(request, nowMillis);
         if (refusal.isPresent()) {
             actions.add(refusal.get());
             return;
         }
-        waiting.put(work.attempt(), work);
-        waitingByAccount.merge(work.account(), 1, Integer::sum);
-        waitingByClass.merge(work.requestClass(), 1, Integer::sum);
-        enqueue(work);
+        waiting.put(request.attempt(), request);
+        waitingByAccount.merge(request.account(), 1, Integer::sum);
+        waitingByClass.merge(request.requestClass(), 1, Integer::sum);
+        enqueue(request);
     }
 
-    private Optional<AdmissionAction> refusalOnArrival(Work work, long nowMillis) {
-        if (nowMillis >= work.firstTokenByMillis()) {
-            return Optional.of(refuse(work, ErrorCode.DEADLINE_BEFORE_START, -1));
+    private Optional<AdmissionAction> refusalOnArrival(AdmissionRequest request, long nowMillis) {
+        if (nowMillis >= request.firstTokenByMillis()) {
+            return Optional.of(refuse(request, ErrorCode.DEADLINE_BEFORE_START, -1));
         }
-        int classWaiting = waitingByClass.getOrDefault(work.requestClass(), 0);
-        if (classWaiting >= limits.limitsOf(work.requestClass()).queueLimit()) {
-            return Optional.of(refuse(work, ErrorCode.OVERLOADED, waitOfNew(work)));
+        int classWaiting = waitingByClass.getOrDefault(request.requestClass(), 0);
+        if (classWaiting >= limits.limitsOf(request.requestClass()).queueLimit()) {
+            return Optional.of(
+                    refuse(request, ErrorCode.OVERLOADED, estimatedWaitOnArrivalMillis(request)));
         }
-        int accountWaiting = waitingByAccount.getOrDefault(work.account(), 0);
-        if (accountWaiting >= limits.limitsOf(work.account()).queueLimit()) {
-            return Optional.of(refuse(work, ErrorCode.ACCOUNT_LIMIT, waitOfNew(work)));
+        int accountWaiting = waitingByAccount.getOrDefault(request.account(), 0);
+        if (accountWaiting >= limits.limitsOf(request.account()).queueLimit()) {
+            return Optional.of(
+                    refuse(
+                            request,
+                            ErrorCode.ACCOUNT_LIMIT,
+                            estimatedWaitOnArrivalMillis(request)));
         }
-        return isMet(work) ? tooLate(work, waitOfNew(work), nowMillis) : Optional.empty();
+        return isNeedMet(request)
+                ? refusalIfLate(request, estimatedWaitOnArrivalMillis(request), nowMillis)
+                : Optional.empty();
     }
 
-    private Optional<AdmissionAction> tooLate(Work work, long waitMillis, long nowMillis) {
-        // With no wait ahead the request is tried even if the engine was slow of late: if all were
-        // refused on old figures, no new figure would ever show that the engine has recovered.
+    private Optional<AdmissionAction> refusalIfLate(
+            AdmissionRequest request, long waitMillis, long nowMillis) {
+        // A request without a queue ahead of it is admitted even if the engine was slow recently:
+        // if all requests were refused on old measurements, no new measurement would show that the
+        // engine has recovered.
         if (waitMillis <= 0) {
             return Optional.empty();
         }
-        long firstTokenAt = nowMillis + waitMillis + times.firstTokenMillis(work.requestClass());
-        return firstTokenAt > work.firstTokenByMillis()
+        long firstTokenAt =
+                nowMillis + waitMillis + serviceTimes.firstTokenMillis(request.requestClass());
+        return firstTokenAt > request.firstTokenByMillis()
                 ? Optional.of(
                         refuse(
-                                work,
+                                request,
                                 ErrorCode.CANNOT_MEET_CLASS,
-                                firstTokenAt - work.firstTokenByMillis()))
+                                firstTokenAt - request.firstTokenByMillis()))
                 : Optional.empty();
     }
 
-    private void enqueue(Work work) {
-        if (isMet(work)) {
-            classes.computeIfAbsent(work.requestClass(), ClassQueue::of).add(work, servedUpTo);
+    private void enqueue(AdmissionRequest request) {
+        if (isNeedMet(request)) {
+            classes.computeIfAbsent(request.requestClass(), ClassQueue::of)
+                    .add(request, servedVirtualTime);
         } else {
-            unmet.put(work.attempt(), work);
+            waitingForNeed.put(request.attempt(), request);
         }
     }
 
-    private boolean isMet(Work work) {
-        return work.need().map(ready::contains).orElse(true);
+    private boolean isNeedMet(AdmissionRequest request) {
+        return request.need().map(ready::contains).orElse(true);
     }
 
     private void cancelled(AttemptId attempt, List<AdmissionAction> actions) {
-        Work work = waiting.get(attempt);
-        if (work != null) {
-            forget(work);
-            actions.add(refuse(work, ErrorCode.CANCELLED_BEFORE_START, -1));
+        AdmissionRequest request = waiting.get(attempt);
+        if (request != null) {
+            removeWaiting(request);
+            actions.add(refuse(request, ErrorCode.CANCELLED_BEFORE_START, -1));
         }
     }
 
-    private void forget(Work work) {
-        waiting.remove(work.attempt());
-        unmet.remove(work.attempt());
+    private void removeWaiting(AdmissionRequest request) {
+        waiting.remove(request.attempt());
+        waitingForNeed.remove(request.attempt());
         waitingByAccount.computeIfPresent(
-                work.account(), (id, count) -> count == 1 ? null : count - 1);
+                request.account(), (id, count) -> count == 1 ? null : count - 1);
         waitingByClass.computeIfPresent(
-                work.requestClass(), (id, count) -> count == 1 ? null : count - 1);
-        ClassQueue queue = classes.get(work.requestClass());
+                request.requestClass(), (id, count) -> count == 1 ? null : count - 1);
+        ClassQueue queue = classes.get(request.requestClass());
         if (queue != null) {
-            queue.remove(work);
+            queue.remove(request);
         }
     }
 
     private void firstToken(AttemptId attempt, long nowMillis) {
-        Running seen = running.get(attempt);
-        if (seen != null) {
-            times.firstToken(seen.work().requestClass(), nowMillis - seen.startedAtMillis());
+        Running started = running.get(attempt);
+        if (started != null) {
+            serviceTimes.recordFirstToken(
+                    started.request().requestClass(), nowMillis - started.startedAtMillis());
         }
     }
 
     private void ended(AttemptId attempt, OptionalInt tokens, long nowMillis) {
-        Running seen = running.remove(attempt);
-        if (seen == null) {
+        Running started = running.remove(attempt);
+        if (started == null) {
             return;
         }
-        Work work = seen.work();
-        times.ended(work.requestClass(), nowMillis - seen.startedAtMillis());
+        AdmissionRequest request = started.request();
+        serviceTimes.recordSlotTime(request.requestClass(), nowMillis - started.startedAtMillis());
         runningByAccount.computeIfPresent(
-                work.account(), (id, count) -> count == 1 ? null : count - 1);
-        classes.get(work.requestClass())
-                .ended(
-                        work,
-                        Math.max(1, tokens.orElse(work.estimatedTokens())),
-                        limits.limitsOf(work.requestClass()).weight(),
-                        limits.limitsOf(work.account()).share());
+                request.account(), (id, count) -> count == 1 ? null : count - 1);
+        classes.get(request.requestClass())
+                .requestEnded(
+                        request,
+                        Math.max(1, tokens.orElse(request.estimatedTokens())),
+                        limits.limitsOf(request.requestClass()).weight(),
+                        limits.limitsOf(request.account()).share());
     }
 
-    private void readyChanged(Set<Need> now) {
-        if (now.equals(ready)) {
+    private void readyChanged(Set<Need> newReady) {
+        if (newReady.equals(ready)) {
             return;
         }
-        ready = now;
-        List<Work> moved =
+        ready = newReady;
+        List<AdmissionRequest> changed =
                 waiting.values().stream()
-                        .filter(work -> unmet.containsKey(work.attempt()) == isMet(work))
+                        .filter(
+                                request ->
+                                        waitingForNeed.containsKey(request.attempt())
+                                                == isNeedMet(request))
                         .toList();
-        moved.forEach(
-                work -> {
-                    unmet.remove(work.attempt());
-                    Optional.ofNullable(classes.get(work.requestClass()))
-                            .ifPresent(queue -> queue.remove(work));
-                    enqueue(work);
+        changed.forEach(
+                request -> {
+                    waitingForNeed.remove(request.attempt());
+                    Optional.ofNullable(classes.get(request.requestClass()))
+                            .ifPresent(queue -> queue.remove(request));
+                    enqueue(request);
                 });
     }
 
     private void needDelayed(
             AdmissionMessage.NeedDelayed delayed, long nowMillis, List<AdmissionAction> actions) {
-        List<Work> hopeless =
-                unmet.values().stream()
-                        .filter(work -> work.need().equals(Optional.of(delayed.need())))
+        List<AdmissionRequest> lateRequests =
+                waitingForNeed.values().stream()
+                        .filter(request -> request.need().equals(Optional.of(delayed.need())))
                         .filter(
-                                work ->
+                                request ->
                                         nowMillis + delayed.readyInMillis()
-                                                > work.firstTokenByMillis())
+                                                > request.firstTokenByMillis())
                         .toList();
-        long retryAfterMillis = Math.min(LONGEST_RETRY_MILLIS, delayed.readyInMillis());
-        hopeless.forEach(this::forget);
-        hopeless.forEach(
-                work -> actions.add(refuse(work, ErrorCode.MODEL_NOT_RESIDENT, retryAfterMillis)));
+        long retryAfterMillis = Math.min(MAXIMUM_RETRY_AFTER_MILLIS, delayed.readyInMillis());
+        lateRequests.forEach(this::removeWaiting);
+        lateRequests.forEach(
+                request ->
+                        actions.add(
+                                refuse(request, ErrorCode.MODEL_NOT_RESIDENT, retryAfterMillis)));
     }
 
-    // Held back until its turn, a late request would cost its caller the time to try elsewhere and
-    // the target a slot for an answer that no longer counts.
+    // A late request that waited for its turn would cost its caller the time to try another target,
+    // and the target a slot for an answer that is no longer useful.
     private void refuseLate(long nowMillis, List<AdmissionAction> actions) {
-        classes.values().forEach(ClassQueue::forgetIdle);
+        classes.values().forEach(ClassQueue::removeIdleAccounts);
         List<AdmissionAction> late =
                 Stream.concat(
                                 waiting.values().stream()
-                                        .filter(work -> nowMillis >= work.firstTokenByMillis())
+                                        .filter(
+                                                request ->
+                                                        nowMillis >= request.firstTokenByMillis())
                                         .map(
-                                                work ->
+                                                request ->
                                                         refuse(
-                                                                work,
+                                                                request,
                                                                 ErrorCode.DEADLINE_BEFORE_START,
                                                                 -1)),
                                 classes.values().stream()
-                                        .flatMap(queue -> hopeless(queue, nowMillis)))
+                                        .flatMap(queue -> lateRefusals(queue, nowMillis)))
                         .toList();
         late.stream()
-                .filter(action -> waiting.containsKey(action.work().attempt()))
+                .filter(action -> waiting.containsKey(action.request().attempt()))
                 .forEach(
                         action -> {
-                            forget(action.work());
+                            removeWaiting(action.request());
                             actions.add(action);
                         });
     }
 
-    private Stream<AdmissionAction> hopeless(ClassQueue queue, long nowMillis) {
-        List<Work> order = queue.inStartOrder(id -> limits.limitsOf(id).share());
+    private Stream<AdmissionAction> lateRefusals(ClassQueue queue, long nowMillis) {
+        List<AdmissionRequest> order = queue.inStartOrder(id -> limits.limitsOf(id).share());
         DoubleToLongFunction wait =
-                estimate.byRank(limits, classes.values(), slots(), queue.requestClass());
+                waitEstimator.waitByRank(limits, classes.values(), slots(), queue.requestClass());
         return IntStream.range(0, order.size())
                 .mapToObj(
                         index ->
-                                tooLate(order.get(index), wait.applyAsLong(index + 1.0), nowMillis))
+                                refusalIfLate(
+                                        order.get(index), wait.applyAsLong(index + 1.0), nowMillis))
                 .flatMap(Optional::stream);
     }
 
-    private void startWhatFits(long nowMillis, List<AdmissionAction> actions) {
+    private void startRequests(long nowMillis, List<AdmissionAction> actions) {
         while (running.size() < limits.concurrency()) {
-            Optional<Next> next =
+            Optional<Candidate> candidate =
                     classes.values().stream()
                             .filter(queue -> queue.waiting() > 0)
                             .sorted(
@@ -268,78 +289,87 @@
                                             .thenComparing(ClassQueue::requestClass))
                             .flatMap(
                                     queue ->
-                                            queue.next(this::underCap).stream()
-                                                    .map(account -> new Next(queue, account)))
+                                            queue.next(this::isUnderCap).stream()
+                                                    .map(account -> new Candidate(queue, account)))
                             .findFirst();
-            if (next.isEmpty()) {
+            if (candidate.isEmpty()) {
                 return;
             }
-            start(next.get().queue(), next.get().account(), nowMillis, actions);
+            start(candidate.get().queue(), candidate.get().account(), nowMillis, actions);
         }
     }
 
     private void start(
             ClassQueue queue, AccountQueue account, long nowMillis, List<AdmissionAction> actions) {
-        servedUpTo = Math.max(servedUpTo, queue.virtualTime());
-        Work work =
+        servedVirtualTime = Math.max(servedVirtualTime, queue.virtualTime());
+        AdmissionRequest request =
                 queue.start(
                         account,
                         limits.limitsOf(queue.requestClass()).weight(),
                         limits.limitsOf(account.account()).share());
-        forget(work);
-        if (nowMillis >= work.firstTokenByMillis()) {
-            queue.ended(
-                    work,
+        removeWaiting(request);
+        if (nowMillis >= request.firstTokenByMillis()) {
+            queue.requestEnded(
+                    request,
                     0,
                     limits.limitsOf(queue.requestClass()).weight(),
                     limits.limitsOf(account.account()).share());
-            actions.add(refuse(work, ErrorCode.DEADLINE_BEFORE_START, -1));
+            actions.add(refuse(request, ErrorCode.DEADLINE_BEFORE_START, -1));
             return;
         }
-        running.put(work.attempt(), new Running(work, nowMillis));
-        runningByAccount.merge(work.account(), 1, Integer::sum);
-        actions.add(new AdmissionAction.Start(work, nowMillis - work.arrivedAtMillis()));
+        running.put(request.attempt(), new Running(request, nowMillis));
+        runningByAccount.merge(request.account(), 1, Integer::sum);
+        actions.add(new AdmissionAction.Start(request, nowMillis - request.arrivedAtMillis()));
     }
 
-    private boolean underCap(ClientAccountId account) {
+    private boolean isUnderCap(ClientAccountId account) {
         return runningByAccount.getOrDefault(account, 0) < limits.limitsOf(account).cap();
     }
 
-    private long waitOfNew(Work work) {
-        ClassQueue queue = classes.get(work.requestClass());
+    private long estimatedWaitOnArrivalMillis(AdmissionRequest request) {
+        ClassQueue queue = classes.get(request.requestClass());
         int position =
                 queue == null
                         ? 1
                         : 1
                                 + queue.accounts().stream()
-                                        .filter(each -> each.account().equals(work.account()))
+                                        .filter(each -> each.account().equals(request.account()))
                                         .mapToInt(each -> each.waiting().size())
                                         .sum();
-        return waitAt(work, position);
+        return estimatedWaitMillisAt(request, position);
     }
 
-    private long waitAt(Work work, int position) {
-        return estimate.waitMillis(
-                limits, classes.values(), slots(), work.requestClass(), work.account(), position);
+    private long estimatedWaitMillisAt(AdmissionRequest request, int position) {
+        return waitEstimator.waitMillis(
+                limits,
+                classes.values(),
+                slots(),
+                request.requestClass(),
+                request.account(),
+                position);
     }
 
-    // What runs now decides when the next slot is free: a short class behind long batches waits for
-    // those, not for its own kind.
-    private WaitEstimate.Slots slots() {
-        double releasesPerMilli =
+    // The running requests decide when the next slot becomes free: a class of short requests queued
+    // behind long batch requests waits for those, not for requests of its own class.
+    private WaitEstimator.Slots slots() {
+        double releasesPerMillisecond =
                 running.values().stream()
-                        .mapToDouble(each -> times.slotMillis(each.work().requestClass()))
+                        .mapToDouble(
+                                queue -> serviceTimes.slotMillis(queue.request().requestClass()))
                         .filter(millis -> millis > 0)
                         .map(millis -> 1 / millis)
                         .sum();
-        return new WaitEstimate.Slots(
-                Math.max(0, limits.concurrency() - running.size()), releasesPerMilli);
+        return new WaitEstimator.Slots(
+                Math.max(0, limits.concurrency() - running.size()), releasesPerMillisecond);
     }
 
-    private static AdmissionAction refuse(Work work, ErrorCode code, long retryAfterMillis) {
+    private static AdmissionAction refuse(
+            AdmissionRequest request, ErrorCode code, long retryAfterMillis) {
         boolean retryable = code.retryable() && retryAfterMillis >= 0;
         return new AdmissionAction.Refuse(
-                work, code, retryable ? Math.max(SHORTEST_RETRY_MILLIS, retryAfterMillis) : -1);
+                request,
+                code,
+                retryable ? Math.max(MINIMUM_RETRY_AFTER_MILLIS, retryAfterMillis) : -1);
     }
 
     @Override
@@ -349,14 +379,14 @@
                         Collectors.toMap(
                                 Function.identity(),
                                 id ->
-                                        estimate.classWaitMillis(
+                                        waitEstimator.classWaitMillis(
                                                 limits, classes.values(), slots(), id)));
     }
 
     @Override
     public Set<Need> unmetNeeds() {
-        return unmet.values().stream()
-                .flatMap(work -> work.need().stream())
+        return waitingForNeed.values().stream()
+                .flatMap(request -> request.need().stream())
                 .collect(Collectors.toCollection(LinkedHashSet::new));
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/admission/FifoAdmission.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/FifoAdmission.java
@@ -16,16 +16,17 @@
 import org.tamaracktrack.core.id.RequestClassId;
 
 /**
- * First in, first out over all classes and client accounts: the baseline that {@link FairAdmission}
- * is measured against. It keeps the queue bounds and refuses what is past its time, no more.
+ * Starts requests in the order of arrival over all classes and client accounts: the baseline that
+ * {@link FairAdmission} is compared with. It enforces only the queue limits and refuses requests
+ * whose time limit has passed.
  */
 public final class FifoAdmission implements AdmissionPolicy {
-    private static final long RETRY_MILLIS = 1_000;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    private final Map<AttemptId, Work> waiting = new LinkedHashMap<>();
+    private final Map<AttemptId, AdmissionRequest> waiting = new LinkedHashMap<>();
     private final Map<AttemptId, Long> startedAt = new HashMap<>();
-    private final Map<AttemptId, Work> running = new HashMap<>();
-    private final ServiceTimes times = ServiceTimes.empty();
+    private final Map<AttemptId, AdmissionRequest> running = new HashMap<>();
+    private final ServiceTimes serviceTimes = ServiceTimes.empty();
     private Set<Need> ready = Set.of();
     private AdmissionLimits limits;
 
@@ -34,9 +35,9 @@
     }
 
     /**
-     * Returns a policy with nothing waiting.
+     * Returns a policy without queued requests.
      *
-     * @param limits the limits it keeps
+     * @param limits the limits that the policy enforces
      * @return the policy
      */
     public static FifoAdmission of(AdmissionLimits limits) {
@@ -49,90 +50,100 @@
         Objects.requireNonNull(message, "message is null");
         List<AdmissionAction> actions = new ArrayList<>();
         if (message instanceof AdmissionMessage.Arrived arrived) {
-            arrived(arrived.work(), actions);
+            arrived(arrived.request(), actions);
         } else if (message instanceof AdmissionMessage.Cancelled cancelled) {
             Optional.ofNullable(waiting.get(cancelled.attempt()))
-                    .ifPresent(work -> refuse(work, ErrorCode.CANCELLED_BEFORE_START, -1, actions));
+                    .ifPresent(
+                            request ->
+                                    refuse(request, ErrorCode.CANCELLED_BEFORE_START, -1, actions));
         } else if (message instanceof AdmissionMessage.Ended ended) {
             ended(ended.attempt(), nowMillis);
         } else if (message instanceof AdmissionMessage.ReadyChanged changed) {
             ready = changed.ready();
         } else if (message instanceof AdmissionMessage.NeedDelayed delayed) {
             List.copyOf(waiting.values()).stream()
-                    .filter(work -> work.need().equals(Optional.of(delayed.need())))
-                    .filter(work -> nowMillis + delayed.readyInMillis() > work.firstTokenByMillis())
+                    .filter(request -> request.need().equals(Optional.of(delayed.need())))
+                    .filter(
+                            request ->
+                                    nowMillis + delayed.readyInMillis()
+                                            > request.firstTokenByMillis())
                     .forEach(
-                            work ->
+                            request ->
                                     refuse(
-                                            work,
+                                            request,
                                             ErrorCode.MODEL_NOT_RESIDENT,
-                                            RETRY_MILLIS,
+                                            RETRY_AFTER_MILLIS,
                                             actions));
         } else if (message instanceof AdmissionMessage.LimitsChanged changed) {
             limits = changed.limits();
         }
         refuseExpired(nowMillis, actions);
-        startWhatFits(nowMillis, actions);
+        startRequests(nowMillis, actions);
         return actions;
     }
 
-    private void arrived(Work work, List<AdmissionAction> actions) {
+    private void arrived(AdmissionRequest request, List<AdmissionAction> actions) {
         long inClass =
                 waiting.values().stream()
-                        .filter(each -> each.requestClass().equals(work.requestClass()))
+                        .filter(each -> each.requestClass().equals(request.requestClass()))
                         .count();
-        if (inClass >= limits.limitsOf(work.requestClass()).queueLimit()) {
-            actions.add(new AdmissionAction.Refuse(work, ErrorCode.OVERLOADED, RETRY_MILLIS));
+        if (inClass >= limits.limitsOf(request.requestClass()).queueLimit()) {
+            actions.add(
+                    new AdmissionAction.Refuse(request, ErrorCode.OVERLOADED, RETRY_AFTER_MILLIS));
         } else {
-            waiting.put(work.attempt(), work);
+            waiting.put(request.attempt(), request);
         }
     }
 
     private void ended(AttemptId attempt, long nowMillis) {
-        Work work = running.remove(attempt);
-        if (work != null) {
-            times.ended(work.requestClass(), nowMillis - startedAt.remove(attempt));
+        AdmissionRequest request = running.remove(attempt);
+        if (request != null) {
+            serviceTimes.recordSlotTime(
+                    request.requestClass(), nowMillis - startedAt.remove(attempt));
         }
     }
 
     private void refuse(
-            Work work, ErrorCode code, long retryAfterMillis, List<AdmissionAction> actions) {
-        waiting.remove(work.attempt());
-        actions.add(new AdmissionAction.Refuse(work, code, retryAfterMillis));
+            AdmissionRequest request,
+            ErrorCode code,
+            long retryAfterMillis,
+            List<AdmissionAction> actions) {
+        waiting.remove(request.attempt());
+        actions.add(new AdmissionAction.Refuse(request, code, retryAfterMillis));
     }
 
     private void refuseExpired(long nowMillis, List<AdmissionAction> actions) {
         waiting.values().stream()
-                .filter(work -> nowMillis >= work.firstTokenByMillis())
+                .filter(request -> nowMillis >= request.firstTokenByMillis())
                 .toList()
-                .forEach(work -> refuse(work, ErrorCode.DEADLINE_BEFORE_START, -1, actions));
+                .forEach(request -> refuse(request, ErrorCode.DEADLINE_BEFORE_START, -1, actions));
     }
 
-    private void startWhatFits(long nowMillis, List<AdmissionAction> actions) {
+    private void startRequests(long nowMillis, List<AdmissionAction> actions) {
         waiting.values().stream()
-                .filter(this::isMet)
+                .filter(this::isNeedMet)
                 .limit(Math.max(0, limits.concurrency() - running.size()))
                 .toList()
                 .forEach(
-                        work -> {
-                            waiting.remove(work.attempt());
-                            running.put(work.attempt(), work);
-                            startedAt.put(work.attempt(), nowMillis);
+                        request -> {
+                            waiting.remove(request.attempt());
+                            running.put(request.attempt(), request);
+                            startedAt.put(request.attempt(), nowMillis);
                             actions.add(
                                     new AdmissionAction.Start(
-                                            work, nowMillis - work.arrivedAtMillis()));
+                                            request, nowMillis - request.arrivedAtMillis()));
                         });
     }
 
-    private boolean isMet(Work work) {
-        return work.need().map(ready::contains).orElse(true);
+    private boolean isNeedMet(AdmissionRequest request) {
+        return request.need().map(ready::contains).orElse(true);
     }
 
     @Override
     public Map<RequestClassId, Long> estimatedWaitMillis() {
         int slots = Math.max(1, limits.concurrency());
         int ahead = Math.max(0, waiting.size() + 1 - Math.max(0, slots - running.size()));
-        long wait = Math.round(ahead * times.meanSlotMillis() / slots);
+        long wait = Math.round(ahead * serviceTimes.meanSlotMillis() / slots);
         return limits.classes().keySet().stream()
                 .collect(Collectors.toMap(Function.identity(), id -> wait));
     }
@@ -140,7 +151,7 @@
     @Override
     public Set<Need> unmetNeeds() {
         return waiting.values().stream()
-                .flatMap(work -> work.need().stream())
+                .flatMap(request -> request.need().stream())
                 .filter(need -> !ready.contains(need))
                 .collect(Collectors.toCollection(LinkedHashSet::new));
     }
--- a/core/src/main/java/org/tamaracktrack/core/admission/Need.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/Need.java
@@ -6,10 +6,10 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * What must be in accelerator memory before a request can start.
+ * The model and adapter that must be in accelerator memory before a request can start.
  *
  * @param model the model
- * @param adapter the adapter on it, if one is asked for
+ * @param adapter the adapter of the model, if the request names one
  */
 public record Need(ModelId model, Optional<AdapterId> adapter) {
 
--- a/core/src/main/java/org/tamaracktrack/core/admission/ServiceTimes.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/ServiceTimes.java
@@ -4,9 +4,12 @@
 import java.util.Map;
 import org.tamaracktrack.core.id.RequestClassId;
 
-/** Moving averages of how long requests hold a slot and take to their first token. */
+/**
+ * Keeps moving averages of how long requests occupy a slot and how long they take to their first
+ * token.
+ */
 final class ServiceTimes {
-    private static final double NEWEST_WEIGHT = 0.1;
+    private static final double NEWEST_SAMPLE_WEIGHT = 0.1;
 
     private final Map<RequestClassId, Double> slotMillis = new HashMap<>();
     private final Map<RequestClassId, Double> firstTokenMillis = new HashMap<>();
@@ -18,16 +21,17 @@
         return new ServiceTimes();
     }
 
-    void ended(RequestClassId requestClass, long millis) {
-        slotMillis.merge(requestClass, (double) millis, ServiceTimes::average);
-        meanSlotMillis = meanSlotMillis == 0 ? millis : average(meanSlotMillis, millis);
+    void recordSlotTime(RequestClassId requestClass, long millis) {
+        slotMillis.merge(requestClass, (double) millis, ServiceTimes::movingAverage);
+        meanSlotMillis = meanSlotMillis == 0 ? millis : movingAverage(meanSlotMillis, millis);
     }
 
-    void firstToken(RequestClassId requestClass, long millis) {
-        firstTokenMillis.merge(requestClass, (double) millis, ServiceTimes::average);
+    void recordFirstToken(RequestClassId requestClass, long millis) {
+        firstTokenMillis.merge(requestClass, (double) millis, ServiceTimes::movingAverage);
     }
 
-    // Zero until something has ended: refusing on a guess would refuse the first callers for ever.
+    // Zero until a request has ended: refusing requests by a guessed value could refuse all
+    // requests, and then no measurement would ever replace the guess.
     double slotMillis(RequestClassId requestClass) {
         return slotMillis.getOrDefault(requestClass, meanSlotMillis);
     }
@@ -40,7 +44,7 @@
         return Math.round(firstTokenMillis.getOrDefault(requestClass, 0.0));
     }
 
-    private static double average(double old, double newest) {
-        return old + NEWEST_WEIGHT * (newest - old);
+    private static double movingAverage(double average, double sample) {
+        return average + NEWEST_SAMPLE_WEIGHT * (sample - average);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/admission/WaitEstimate.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/WaitEstimator.java
@@ -5,20 +5,23 @@
 import org.tamaracktrack.core.id.ClientAccountId;
 import org.tamaracktrack.core.id.RequestClassId;
 
-/** Estimates how long a request waits, from what is ahead of it in the fair order. */
-final class WaitEstimate {
-    private WaitEstimate() {}
+/** Estimates how long a request waits, from the requests ahead of it in the fair order. */
+final class WaitEstimator {
+    private WaitEstimator() {}
 
-    static WaitEstimate create() {
-        return new WaitEstimate();
+    static WaitEstimator create() {
+        return new WaitEstimator();
     }
 
-    /** How many slots are free, and how often one that is taken becomes free; 0 if not known. */
-    record Slots(int free, double releasesPerMilli) {}
+    /**
+     * The number of free slots, and the rate at which occupied slots become free, or 0 if unknown.
+     */
+    record Slots(int free, double releasesPerMillisecond) {}
 
     /**
-     * Estimates the wait of a request that is at a position (from 1) in its account's queue. Of
-     * every other account, as many requests go ahead as its share earns meanwhile.
+     * Returns the estimated wait in milliseconds of a request at a position (from 1) in the queue
+     * of its account. Of every other account, as many requests are assumed to start earlier as its
+     * share entitles it to.
      */
     long waitMillis(
             AdmissionLimits limits,
@@ -43,10 +46,13 @@
                                                                         .share()
                                                                 / share))
                                 .sum();
-        return byRank(limits, classes, slots, requestClass).applyAsLong(rank);
+        return waitByRank(limits, classes, slots, requestClass).applyAsLong(rank);
     }
 
-    /** Estimates the wait of a request that comes after all that wait in its class. */
+    /**
+     * Returns the estimated wait in milliseconds of a request that is queued behind all waiting
+     * requests of its class.
+     */
     long classWaitMillis(
             AdmissionLimits limits,
             Collection<ClassQueue> classes,
@@ -58,32 +64,35 @@
                                 .filter(queue -> queue.requestClass().equals(requestClass))
                                 .mapToInt(ClassQueue::waiting)
                                 .sum();
-        return byRank(limits, classes, slots, requestClass).applyAsLong(rank);
+        return waitByRank(limits, classes, slots, requestClass).applyAsLong(rank);
     }
 
     /**
-     * Returns the wait by the place in the start order of a class, from 1. A class gets its part of
-     * the slots, and waits at most for all that waits anywhere.
+     * Returns a function from a position in the start order of a class (from 1) to the estimated
+     * wait in milliseconds. A class is assumed to get its share of the slots, and to wait at most
+     * for all requests that wait in any class.
      */
-    DoubleToLongFunction byRank(
+    DoubleToLongFunction waitByRank(
             AdmissionLimits limits,
             Collection<ClassQueue> classes,
             Slots slots,
             RequestClassId requestClass) {
-        if (slots.releasesPerMilli() <= 0) {
+        if (slots.releasesPerMillisecond() <= 0) {
             return rank -> 0;
         }
-        int others = waitingInOthers(classes, requestClass);
-        double part = partOf(limits, classes, requestClass);
+        int waitingInOtherClasses = waitingInOtherClasses(classes, requestClass);
+        double slotShare = slotShareOf(limits, classes, requestClass);
         return rank -> {
             double ahead = rank - slots.free();
             return ahead <= 0
                     ? 0
-                    : Math.round(Math.min(ahead / part, ahead + others) / slots.releasesPerMilli());
+                    : Math.round(
+                            Math.min(ahead / slotShare, ahead + waitingInOtherClasses)
+                                    / slots.releasesPerMillisecond());
         };
     }
 
-    private static double partOf(
+    private static double slotShareOf(
             AdmissionLimits limits, Collection<ClassQueue> classes, RequestClassId requestClass) {
         double weight = limits.limitsOf(requestClass).weight();
         double otherWeights =
@@ -95,7 +104,7 @@
         return weight / (weight + otherWeights);
     }
 
-    private static int waitingInOthers(
+    private static int waitingInOtherClasses(
             Collection<ClassQueue> classes, RequestClassId requestClass) {
         return classes.stream()
                 .filter(queue -> !queue.requestClass().equals(requestClass))
--- a/core/src/main/java/org/tamaracktrack/core/admission/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/admission/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Decides which request a target runs next: bounded queues per class, classes by weight, client
- * accounts by weighted fair queueing inside a class, and early refusal of what can't meet its
- * class. Pure: messages and time in, actions out.
+ * Admission control of a target: decides which request runs next, with bounded queues per class,
+ * classes by weight, weighted fair queueing of client accounts within a class, and early refusal of
+ * requests that cannot meet the objectives of their class. The code has no side effects: it takes
+ * messages and times and returns actions.
  */
 package org.tamaracktrack.core.admission;
--- a/core/src/test/java/org/tamaracktrack/core/admission/Works.java
+++ b/core/src/test/java/org/tamaracktrack/core/admission/AdmissionPolicyDriver.java
@@ -11,21 +11,21 @@
 import org.tamaracktrack.core.id.IncarnationId;
 import org.tamaracktrack.core.id.RequestClassId;
 
-/** Drives an admission policy and remembers what it started for whom. */
-final class Works {
+/** Drives an admission policy and records which requests it started for which account and class. */
+final class AdmissionPolicyDriver {
     static final RequestClassId SHORT = RequestClassId.of("short");
     static final RequestClassId LONG = RequestClassId.of("long");
     private static final IncarnationId ENTRY = IncarnationId.of("e");
-    private static final long PATIENCE_MILLIS = 1_000_000;
+    private static final long LONG_WAIT_LIMIT_MILLIS = 1_000_000;
 
     private final AdmissionPolicy policy;
     private final Map<ClientAccountId, Long> startedTokens = new HashMap<>();
     private final Map<RequestClassId, Long> startedByClass = new HashMap<>();
-    private final Map<AttemptId, Work> running = new HashMap<>();
-    private final ArrayDeque<Work> inOrder = new ArrayDeque<>();
-    private long number;
+    private final Map<AttemptId, AdmissionRequest> running = new HashMap<>();
+    private final ArrayDeque<AdmissionRequest> runningInStartOrder = new ArrayDeque<>();
+    private long nextRequestNumber;
 
-    Works(AdmissionPolicy policy) {
+    AdmissionPolicyDriver(AdmissionPolicy policy) {
         this.policy = policy;
     }
 
@@ -48,61 +48,69 @@
         return ClientAccountId.of("account-" + index);
     }
 
-    Work work(int account, int tokens, long arrivedAt, long patience, Optional<Need> need) {
-        return work(account, SHORT, tokens, arrivedAt, patience, need);
+    AdmissionRequest newRequest(
+            int account,
+            int tokens,
+            long arrivedAtMillis,
+            long waitLimitMillis,
+            Optional<Need> need) {
+        return newRequest(account, SHORT, tokens, arrivedAtMillis, waitLimitMillis, need);
     }
 
-    Work work(
+    AdmissionRequest newRequest(
             int account,
             RequestClassId requestClass,
             int tokens,
-            long arrivedAt,
-            long patience,
+            long arrivedAtMillis,
+            long waitLimitMillis,
             Optional<Need> need) {
-        return new Work(
-                AttemptId.of(ENTRY, number++, 0),
+        return new AdmissionRequest(
+                AttemptId.of(ENTRY, nextRequestNumber++, 0),
                 account(account),
                 requestClass,
                 tokens,
-                arrivedAt,
-                arrivedAt + patience,
+                arrivedAtMillis,
+                arrivedAtMillis + waitLimitMillis,
                 need);
     }
 
-    List<AdmissionAction> arrive(Work work, long now) {
-        return tell(new AdmissionMessage.Arrived(work), now);
+    List<AdmissionAction> arrive(AdmissionRequest request, long nowMillis) {
+        return handle(new AdmissionMessage.Arrived(request), nowMillis);
     }
 
     void arrive(int account, RequestClassId requestClass, int tokens) {
-        arrive(work(account, requestClass, tokens, 0, PATIENCE_MILLIS, Optional.empty()), 0);
+        arrive(
+                newRequest(
+                        account, requestClass, tokens, 0, LONG_WAIT_LIMIT_MILLIS, Optional.empty()),
+                0);
     }
 
-    List<AdmissionAction> tell(AdmissionMessage message, long now) {
-        List<AdmissionAction> actions = policy.handle(message, now);
+    List<AdmissionAction> handle(AdmissionMessage message, long nowMillis) {
+        List<AdmissionAction> actions = policy.handle(message, nowMillis);
         actions.stream()
                 .filter(action -> action instanceof AdmissionAction.Start)
-                .map(AdmissionAction::work)
+                .map(AdmissionAction::request)
                 .forEach(this::started);
         return actions;
     }
 
-    private void started(Work work) {
-        startedTokens.merge(work.account(), (long) work.estimatedTokens(), Long::sum);
-        startedByClass.merge(work.requestClass(), (long) work.estimatedTokens(), Long::sum);
-        running.put(work.attempt(), work);
-        inOrder.add(work);
+    private void started(AdmissionRequest request) {
+        startedTokens.merge(request.account(), (long) request.estimatedTokens(), Long::sum);
+        startedByClass.merge(request.requestClass(), (long) request.estimatedTokens(), Long::sum);
+        running.put(request.attempt(), request);
+        runningInStartOrder.add(request);
     }
 
-    /** Ends the request that has run longest; returns it. */
-    Work endOldest(OptionalInt tokens, long now) {
-        Work work = inOrder.poll();
-        running.remove(work.attempt());
-        tell(new AdmissionMessage.Ended(work.attempt(), tokens), now);
-        return work;
+    /** Ends the request that has run longest and returns it. */
+    AdmissionRequest endOldest(OptionalInt tokens, long nowMillis) {
+        AdmissionRequest request = runningInStartOrder.poll();
+        running.remove(request.attempt());
+        handle(new AdmissionMessage.Ended(request.attempt(), tokens), nowMillis);
+        return request;
     }
 
     boolean isAnyRunning() {
-        return !inOrder.isEmpty();
+        return !runningInStartOrder.isEmpty();
     }
 
     long startedTokens(int account) {
@@ -115,7 +123,7 @@
 
     long runningOf(int account) {
         return running.values().stream()
-                .filter(work -> work.account().equals(account(account)))
+                .filter(request -> request.account().equals(account(account)))
                 .count();
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/Submissions.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/Submissions.java
@@ -13,8 +13,8 @@
 import org.tamaracktrack.core.admission.AdmissionAction;
 import org.tamaracktrack.core.admission.AdmissionMessage;
 import org.tamaracktrack.core.admission.AdmissionPolicy;
+import org.tamaracktrack.core.admission.AdmissionRequest;
 import org.tamaracktrack.core.admission.Need;
-import org.tamaracktrack.core.admission.Work;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.Ran;
 import org.tamaracktrack.core.error.TamaracktrackException;
@@ -130,9 +130,9 @@
         }
     }
 
-    private static Work workOf(Attempt attempt) {
+    private static AdmissionRequest workOf(Attempt attempt) {
         Message.Submit submit = attempt.submit();
-        return new Work(
+        return new AdmissionRequest(
                 submit.attempt(),
                 submit.account(),
                 submit.requestClass(),
@@ -153,7 +153,7 @@
     }
 
     private void apply(AdmissionAction action) {
-        Attempt attempt = attempts.get(action.work().attempt());
+        Attempt attempt = attempts.get(action.request().attempt());
         if (attempt == null) {
             return;
         }
