--- a/bench/src/main/java/org/tamaracktrack/bench/slope/MemorySlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/MemorySlopes.java
@@ -67,7 +67,7 @@
 
     private static ClaimRegister claims(int keys) {
         ClaimRegister register = ClaimRegister.empty(3_600_000);
-        register.startsAt(0);
+        register.startAt(0);
         for (int record = 0; record < keys / KEYS_PER_RECORD; record++) {
             int first = record * KEYS_PER_RECORD;
             List<LogEntry.Claim> claims =
--- a/core/src/main/java/org/tamaracktrack/core/claim/ClaimAction.java
+++ b/core/src/main/java/org/tamaracktrack/core/claim/ClaimAction.java
@@ -4,44 +4,44 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.log.LogEntry;
 
-/** What is to be done about claims. */
+/** An action that the {@link ClaimManager} decided on. */
 public sealed interface ClaimAction {
 
     /**
-     * Append a record, once, and say how it went.
+     * Appends a record once and reports the outcome of the append.
      *
-     * @param slot what kind of record it is
+     * @param kind the kind of the record
      * @param entry the record
      */
-    record Append(Slot slot, LogEntry entry) implements ClaimAction {
+    record Append(AppendKind kind, LogEntry entry) implements ClaimAction {
 
         /** Checks the arguments. */
         public Append {
-            Objects.requireNonNull(slot, "slot is null");
+            Objects.requireNonNull(kind, "slot is null");
             Objects.requireNonNull(entry, "entry is null");
         }
     }
 
-    /** Of each kind one append is under way at a time. */
-    enum Slot {
+    /** The kinds of record. At most one append of each kind is in progress at a time. */
+    enum AppendKind {
         CLAIMS,
         OUTCOMES
     }
 
     /**
-     * The request may be sent.
+     * Grants a request its key: the request may be sent.
      *
-     * @param ticket the request
-     * @param claim the number under which its outcome is to be settled
+     * @param ticket the ticket of the request
+     * @param claim the number of the claim under which its outcome is to be settled
      */
     record Granted(long ticket, long claim) implements ClaimAction {}
 
     /**
-     * The request may not be sent.
+     * Declines a request: it may not be sent.
      *
-     * @param ticket the request
-     * @param code why
-     * @param retryAfterMillis when trying again makes sense, or -1
+     * @param ticket the ticket of the request
+     * @param code the reason
+     * @param retryAfterMillis after how many milliseconds a retry makes sense, or -1
      */
     record Declined(long ticket, ErrorCode code, long retryAfterMillis) implements ClaimAction {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/claim/ClaimKey.java
+++ b/core/src/main/java/org/tamaracktrack/core/claim/ClaimKey.java
@@ -10,18 +10,19 @@
 import org.tamaracktrack.core.id.ClientAccountId;
 
 /**
- * A client account's key in 16 bytes: what a daemon keeps of each key in the window.
+ * A hash of a client account and its idempotency key in 16 bytes, which is all that a daemon stores
+ * of each key in the window.
  *
- * @param high the first half of the hash of account and key
- * @param low the second half
+ * @param high the first 8 bytes of the hash of account and key
+ * @param low the next 8 bytes of the hash
  */
 public record ClaimKey(long high, long low) {
 
     /**
-     * Returns the key of an account. The same text from another account is another key.
+     * Returns the key of a client account. The same text from another account gives another key.
      *
-     * @param account the account
-     * @param keyHash the hash of the key
+     * @param account the client account
+     * @param keyHash the hash of the idempotency key
      * @return the key
      */
     public static ClaimKey of(ClientAccountId account, String keyHash) {
@@ -37,7 +38,8 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(bytes);
         } catch (NoSuchAlgorithmException failure) {
-            throw TamaracktrackException.of(ErrorCode.INTERNAL, "no SHA-256", failure);
+            throw TamaracktrackException.of(
+                    ErrorCode.INTERNAL, "SHA-256 is not available", failure);
         }
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/claim/ClaimRegister.java
+++ b/core/src/main/java/org/tamaracktrack/core/claim/ClaimRegister.java
@@ -12,51 +12,52 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * The claims in the window, as the log tells them. Every reader that has read the whole window
- * comes to the same verdict on each claim, since it depends only on the records and their order.
+ * The claims in the window, derived from the records of the log. All readers that have read the
+ * whole window decide each claim in the same way, since the result depends only on the records and
+ * their order.
  */
 public final class ClaimRegister {
-    /** The window of a register that has not been told one: nothing expires. */
+    /** The window of a register whose window is not known yet: no claim expires. */
     public static final long UNKNOWN_WINDOW_MILLIS = Long.MAX_VALUE / 4;
 
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NO_TIME = Long.MIN_VALUE;
 
-    private final Map<ClaimKey, Held> held = new LinkedHashMap<>();
-    private final Map<IncarnationId, Owner> owners = new LinkedHashMap<>();
+    private final Map<ClaimKey, HeldClaim> claimsByKey = new LinkedHashMap<>();
+    private final Map<IncarnationId, OwnerClaims> owners = new LinkedHashMap<>();
     private long windowMillis;
-    private long logMillis = NEVER;
-    private long knownFromMillis = NEVER;
+    private long logMillis = NO_TIME;
+    private long completeFromMillis = NO_TIME;
     private boolean readFromStart = true;
-    private boolean hole;
+    private boolean historyIncomplete;
 
     private ClaimRegister(long windowMillis) {
         this.windowMillis = windowMillis;
     }
 
     /**
-     * Returns a register that has read nothing.
+     * Returns a register that has not read any record.
      *
-     * @param windowMillis how long a claim is remembered after its record
+     * @param windowMillis how long a claim is remembered after its record, in milliseconds
      * @return the register
      */
     public static ClaimRegister empty(long windowMillis) {
         return new ClaimRegister(windowMillis);
     }
 
-    private static final class Owner {
+    private static final class OwnerClaims {
         private long highestClaim = -1;
         private long lastMillis;
         private final Map<Long, ClaimKey> open = new HashMap<>();
     }
 
-    private static final class Held {
+    private static final class HeldClaim {
         private final IncarnationId owner;
         private final long claim;
         private final int requestHash;
         private long appendedAtMillis;
         private Optional<Ran> outcome = Optional.empty();
 
-        private Held(IncarnationId owner, LogEntry.Claim claim, long appendedAtMillis) {
+        private HeldClaim(IncarnationId owner, LogEntry.Claim claim, long appendedAtMillis) {
             this.owner = owner;
             this.claim = claim.claim();
             this.requestHash = claim.requestHash().hashCode();
@@ -64,11 +65,11 @@
         }
     }
 
-    /** What a key stands at. */
-    public enum Standing {
+    /** The state of a key. */
+    public enum KeyState {
         /** No request with the key is known. */
         FREE,
-        /** A request with the key is in progress, or its owner died, or its outcome is unknown. */
+        /** A request with the key is in progress, its owner ended, or its outcome is unknown. */
         IN_USE,
         /** A request with the key ran. */
         RAN,
@@ -77,14 +78,14 @@
     }
 
     /**
-     * Sets the window.
+     * Changes the window.
      *
-     * @param newWindowMillis how long a claim is remembered after its record
+     * @param newWindowMillis how long a claim is remembered after its record, in milliseconds
      */
-    public void window(long newWindowMillis) {
+    public void changeWindow(long newWindowMillis) {
         // A shorter window must not free keys whose callers were promised the longer one, and a
-        // longer one can't bring back what was forgotten: what is held now stays until the longer
-        // of both has passed.
+        // longer window cannot restore claims that were already dropped. The claims held now are
+        // therefore kept until the longer of both windows has passed.
         windowMillis =
                 windowMillis == UNKNOWN_WINDOW_MILLIS
                         ? newWindowMillis
@@ -92,150 +93,152 @@
     }
 
     /**
-     * Reading starts, or records were lost: what was before an offset is not known.
+     * Records that reading starts at an offset, or that records were lost: the records before the
+     * offset are unknown.
      *
-     * @param firstOffset the first record that will be read
+     * @param firstOffset the offset of the first record that will be read
      */
-    public void startsAt(long firstOffset) {
+    public void startAt(long firstOffset) {
         readFromStart = firstOffset == 0;
-        hole = !readFromStart;
-        knownFromMillis = NEVER;
+        historyIncomplete = !readFromStart;
+        completeFromMillis = NO_TIME;
     }
 
     /**
-     * Takes a record of the claims stream.
+     * Applies a record of the claims stream.
      *
      * @param record the record
      */
     public void handle(LogRecord record) {
         Objects.requireNonNull(record, "record is null");
         logMillis = Math.max(logMillis, record.appendedAtMillis());
-        if (hole && knownFromMillis == NEVER) {
-            knownFromMillis = logMillis;
+        if (historyIncomplete && completeFromMillis == NO_TIME) {
+            completeFromMillis = logMillis;
         }
         expire();
         if (record.entry() instanceof LogEntry.ClaimsTaken taken) {
-            taken.claims().forEach(claim -> take(taken.owner(), claim));
+            taken.claims().forEach(claim -> applyClaim(taken.owner(), claim));
         } else if (record.entry() instanceof LogEntry.ClaimsSettled settled) {
-            settled.settled().forEach(outcome -> settle(settled.owner(), outcome));
+            settled.settled().forEach(outcome -> applyOutcome(settled.owner(), outcome));
         }
     }
 
     private void expire() {
-        Iterator<Held> oldest = held.values().iterator();
-        while (oldest.hasNext()) {
-            Held next = oldest.next();
-            if (next.appendedAtMillis + windowMillis >= logMillis) {
+        Iterator<HeldClaim> claims = claimsByKey.values().iterator();
+        while (claims.hasNext()) {
+            HeldClaim claim = claims.next();
+            if (claim.appendedAtMillis + windowMillis >= logMillis) {
                 break;
             }
-            oldest.remove();
-            Optional.ofNullable(owners.get(next.owner))
-                    .ifPresent(owner -> owner.open.remove(next.claim));
+            claims.remove();
+            Optional.ofNullable(owners.get(claim.owner))
+                    .ifPresent(owner -> owner.open.remove(claim.claim));
         }
         owners.values().removeIf(owner -> owner.lastMillis + windowMillis < logMillis);
     }
 
-    // An append that was given up may take effect late, after its claim was settled as not run.
-    // Held again, the key would be blocked for the whole window though its caller was told that it
-    // is free. Numbers only grow within an owner, so one not above the highest seen is a repeat.
-    private void take(IncarnationId owner, LogEntry.Claim claim) {
-        Owner known = owners.computeIfAbsent(owner, key -> new Owner());
-        known.lastMillis = logMillis;
-        if (claim.claim() <= known.highestClaim) {
+    // An abandoned append may take effect late, after its claim was settled as not run. Holding the
+    // key again would block it for the whole window although its caller was told that it is free.
+    // The claim numbers of an owner only increase, so a number that is not above the highest seen
+    // is a repeat.
+    private void applyClaim(IncarnationId owner, LogEntry.Claim claim) {
+        OwnerClaims ownerClaims = owners.computeIfAbsent(owner, key -> new OwnerClaims());
+        ownerClaims.lastMillis = logMillis;
+        if (claim.claim() <= ownerClaims.highestClaim) {
             return;
         }
-        known.highestClaim = claim.claim();
+        ownerClaims.highestClaim = claim.claim();
         ClaimKey key = ClaimKey.of(claim.account(), claim.keyHash());
-        if (held.containsKey(key)) {
-            prolong(key);
+        if (claimsByKey.containsKey(key)) {
+            extend(key);
         } else {
-            held.put(key, new Held(owner, claim, logMillis));
-            known.open.put(claim.claim(), key);
+            claimsByKey.put(key, new HeldClaim(owner, claim, logMillis));
+            ownerClaims.open.put(claim.claim(), key);
         }
     }
 
-    // While a new window comes into force, a daemon with the shorter one may already have
-    // forgotten the holder and grant the later claim; held from that claim on, the key can't be
-    // granted a third time by a daemon that saw it lose.
-    private void prolong(ClaimKey key) {
-        Held holder = held.remove(key);
+    // While a new window comes into force, a daemon with the shorter window may already have
+    // dropped the holder and grant the later claim. The key is held from that later claim on, so
+    // that a daemon that saw the later claim fail cannot grant it a third time.
+    private void extend(ClaimKey key) {
+        HeldClaim holder = claimsByKey.remove(key);
         holder.appendedAtMillis = logMillis;
-        held.put(key, holder);
+        claimsByKey.put(key, holder);
     }
 
-    private void settle(IncarnationId owner, LogEntry.ClaimOutcome outcome) {
-        Owner known = owners.get(owner);
-        ClaimKey key = known == null ? null : known.open.remove(outcome.claim());
+    private void applyOutcome(IncarnationId owner, LogEntry.ClaimOutcome outcome) {
+        OwnerClaims ownerClaims = owners.get(owner);
+        ClaimKey key = ownerClaims == null ? null : ownerClaims.open.remove(outcome.claim());
         if (key == null) {
             return;
         }
         if (outcome.ran() == Ran.NO) {
-            held.remove(key);
+            claimsByKey.remove(key);
         } else {
-            held.get(key).outcome = Optional.of(outcome.ran());
+            claimsByKey.get(key).outcome = Optional.of(outcome.ran());
         }
     }
 
     /**
      * Returns whether the whole window before a time has been read.
      *
-     * @param nowMillis the time by the log's clock
-     * @return true when no claim in the window can be unknown here
+     * @param nowMillis the time by the clock of the log
+     * @return true when every claim in the window is known
      */
-    public boolean complete(long nowMillis) {
+    public boolean isComplete(long nowMillis) {
         if (readFromStart) {
             return true;
         }
-        return knownFromMillis != NEVER && knownFromMillis + windowMillis < nowMillis;
+        return completeFromMillis != NO_TIME && completeFromMillis + windowMillis < nowMillis;
     }
 
     /**
-     * Returns what a key stands at.
+     * Returns the state of a key for a request.
      *
      * @param key the key
-     * @param requestHash the hash of the request that comes with it
-     * @return its standing
+     * @param requestHash the hash of the request that carries the key
+     * @return the state of the key
      */
-    public Standing standing(ClaimKey key, String requestHash) {
-        Held holder = held.get(key);
+    public KeyState stateOf(ClaimKey key, String requestHash) {
+        HeldClaim holder = claimsByKey.get(key);
         if (holder == null) {
-            return Standing.FREE;
+            return KeyState.FREE;
         }
         if (holder.requestHash != requestHash.hashCode()) {
-            return Standing.OTHER_REQUEST;
+            return KeyState.OTHER_REQUEST;
         }
-        return holder.outcome.equals(Optional.of(Ran.YES)) ? Standing.RAN : Standing.IN_USE;
+        return holder.outcome.equals(Optional.of(Ran.YES)) ? KeyState.RAN : KeyState.IN_USE;
     }
 
     /**
      * Returns whether a claim holds its key.
      *
      * @param key the key
-     * @param owner the claim's owner
-     * @param claim the claim's number within its owner
-     * @return true when it does
+     * @param owner the owner of the claim
+     * @param claim the number of the claim within its owner
+     * @return true when the claim holds the key
      */
     public boolean holds(ClaimKey key, IncarnationId owner, long claim) {
-        return Optional.ofNullable(held.get(key))
+        return Optional.ofNullable(claimsByKey.get(key))
                 .filter(holder -> holder.claim == claim && holder.owner.equals(owner))
                 .isPresent();
     }
 
     /**
-     * Returns the time of the log's clock at the last record read.
+     * Returns the time of the last record read, by the clock of the log.
      *
-     * @return milliseconds since 1970, or the least long when nothing has been read
+     * @return milliseconds since 1970, or {@link Long#MIN_VALUE} when nothing has been read
      */
     public long logMillis() {
         return logMillis;
     }
 
     /**
-     * Returns how many keys are held.
+     * Returns the number of keys that are held.
      *
      * @return the count
      */
     public int size() {
-        return held.size();
+        return claimsByKey.size();
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/claim/ClaimRequest.java
+++ b/core/src/main/java/org/tamaracktrack/core/claim/ClaimRequest.java
@@ -5,13 +5,13 @@
 import org.tamaracktrack.core.id.ClientAccountId;
 
 /**
- * A keyed request that wants to run.
+ * A request with an idempotency key that is to run.
  *
- * @param ticket the request's number within its daemon
- * @param account whose key it is
- * @param keyHash the hash of the key
+ * @param ticket the number of the request within its daemon
+ * @param account the client account that owns the key
+ * @param keyHash the hash of the idempotency key
  * @param requestHash the hash of method, path and body
- * @param createdAtMillis when the caller made the key, in milliseconds since 1970, if it says so
+ * @param createdAtMillis when the caller created the key, in milliseconds since 1970, if known
  */
 public record ClaimRequest(
         long ticket,
--- a/core/src/main/java/org/tamaracktrack/core/claim/OutcomeQueue.java
+++ b/core/src/main/java/org/tamaracktrack/core/claim/OutcomeQueue.java
@@ -10,25 +10,25 @@
 import org.tamaracktrack.core.log.LogEntry;
 
 /**
- * The outcomes of claims on their way to the log. They are appended until it is known that they
- * were written; a second record of an outcome changes nothing.
+ * The outcomes of claims that are to be written to the log. They are appended again until the
+ * append is known to have succeeded; a second record of the same outcome has no effect.
  */
 final class OutcomeQueue {
-    private static final int MOST_IN_A_RECORD = 500;
+    private static final int MAXIMUM_OUTCOMES_PER_RECORD = 500;
 
     private final IncarnationId owner;
-    private final long gapMillis;
+    private final long intervalMillis;
     private final Map<Long, Ran> queued = new LinkedHashMap<>();
     private Map<Long, Ran> appending = Map.of();
-    private long lastMillis = Long.MIN_VALUE / 2;
+    private long lastAppendMillis = Long.MIN_VALUE / 2;
 
-    private OutcomeQueue(IncarnationId owner, long gapMillis) {
+    private OutcomeQueue(IncarnationId owner, long intervalMillis) {
         this.owner = owner;
-        this.gapMillis = gapMillis;
+        this.intervalMillis = intervalMillis;
     }
 
-    static OutcomeQueue of(IncarnationId owner, long gapMillis) {
-        return new OutcomeQueue(owner, gapMillis);
+    static OutcomeQueue of(IncarnationId owner, long intervalMillis) {
+        return new OutcomeQueue(owner, intervalMillis);
     }
 
     void add(long claim, Ran ran) {
@@ -39,14 +39,16 @@
         return queued.isEmpty() && appending.isEmpty();
     }
 
-    Optional<ClaimAction> next(long nowMillis) {
-        if (queued.isEmpty() || !appending.isEmpty() || nowMillis - lastMillis < gapMillis) {
+    Optional<ClaimAction> nextAppend(long nowMillis) {
+        if (queued.isEmpty()
+                || !appending.isEmpty()
+                || nowMillis - lastAppendMillis < intervalMillis) {
             return Optional.empty();
         }
-        lastMillis = nowMillis;
+        lastAppendMillis = nowMillis;
         appending =
                 queued.entrySet().stream()
-                        .limit(MOST_IN_A_RECORD)
+                        .limit(MAXIMUM_OUTCOMES_PER_RECORD)
                         .collect(
                                 Collectors.toMap(
                                         Map.Entry::getKey,
@@ -60,14 +62,15 @@
                         .collect(Collectors.toList());
         return Optional.of(
                 new ClaimAction.Append(
-                        ClaimAction.Slot.OUTCOMES, new LogEntry.ClaimsSettled(owner, settled)));
+                        ClaimAction.AppendKind.OUTCOMES,
+                        new LogEntry.ClaimsSettled(owner, settled)));
     }
 
-    Optional<ClaimAction> appended(ClaimKeeper.AppendOutcome outcome, long nowMillis) {
-        if (outcome != ClaimKeeper.AppendOutcome.WRITTEN) {
+    Optional<ClaimAction> appended(ClaimManager.AppendOutcome outcome, long nowMillis) {
+        if (outcome != ClaimManager.AppendOutcome.WRITTEN) {
             appending.forEach(queued::putIfAbsent);
         }
         appending = Map.of();
-        return next(nowMillis);
+        return nextAppend(nowMillis);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/claim/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/claim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * At most once for requests that carry an idempotency key: a claim in the log before anything is
- * sent, of which the first by offset wins.
+ * Runs requests that carry an idempotency key at most once: a claim is written to the log before
+ * anything is sent, and of the claims for a key the first one by offset wins.
  */
 package org.tamaracktrack.core.claim;
--- a/core/src/test/java/org/tamaracktrack/core/claim/ClaimBenchmark.java
+++ b/core/src/test/java/org/tamaracktrack/core/claim/ClaimBenchmark.java
@@ -8,13 +8,13 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** Measures what one key in the window takes: memory and time, at three sizes. */
+/** Measures the memory and time per key in the window, at three sizes. */
 final class ClaimBenchmark {
-    private static final int IN_A_RECORD = 100;
+    private static final int CLAIMS_PER_RECORD = 100;
 
     private ClaimBenchmark() {}
 
-    /** Prints bytes and nanoseconds for each key. Run with a fixed heap. */
+    /** Prints bytes and nanoseconds per key. Run with a fixed heap size. */
     public static void main(String[] arguments) {
         measure(10_000);
         List.of(10_000, 100_000, 1_000_000).forEach(ClaimBenchmark::measure);
@@ -24,7 +24,7 @@
         long before = usedBytes();
         ClaimRegister register = ClaimRegister.empty(Long.MAX_VALUE / 4);
         long start = System.nanoTime();
-        for (int first = 0; first < keys; first += IN_A_RECORD) {
+        for (int first = 0; first < keys; first += CLAIMS_PER_RECORD) {
             IncarnationId owner = IncarnationId.of("entry-" + first % 4);
             register.handle(LogRecord.of(2L * first, first, taken(owner, first)));
             register.handle(LogRecord.of(2L * first + 1, first, settled(owner, first)));
@@ -37,7 +37,7 @@
 
     private static LogEntry taken(IncarnationId owner, int first) {
         List<LogEntry.Claim> claims = new ArrayList<>();
-        for (int number = first; number < first + IN_A_RECORD; number++) {
+        for (int number = first; number < first + CLAIMS_PER_RECORD; number++) {
             claims.add(
                     new LogEntry.Claim(
                             ClientAccountId.of("account"), "hash-" + number, "request", number));
@@ -47,7 +47,7 @@
 
     private static LogEntry settled(IncarnationId owner, int first) {
         List<LogEntry.ClaimOutcome> outcomes = new ArrayList<>();
-        for (int number = first; number < first + IN_A_RECORD; number++) {
+        for (int number = first; number < first + CLAIMS_PER_RECORD; number++) {
             outcomes.add(new LogEntry.ClaimOutcome(number, Ran.YES));
         }
         return new LogEntry.ClaimsSettled(owner, outcomes);
--- a/core/src/test/java/org/tamaracktrack/core/claim/ClaimSchedule.java
+++ b/core/src/test/java/org/tamaracktrack/core/claim/ClaimSchedule.java
@@ -14,8 +14,9 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * Entry daemons that claim the same few keys against a log in memory, under a schedule drawn from a
- * seed: lost and delayed appends, lost answers, outages, pauses, crashes and expired records.
+ * Simulates entry daemons that claim the same few keys in an in-memory log, under a random schedule
+ * drawn from a seed: lost and delayed appends, lost responses, outages, pauses, crashes and expired
+ * records.
  */
 final class ClaimSchedule {
     static final long WINDOW_MILLIS = 20_000;
@@ -25,20 +26,20 @@
 
     private final Random random;
     private final List<LogRecord> log = new ArrayList<>();
-    private final List<LogEntry> delayed = new ArrayList<>();
+    private final List<LogEntry> delayedAppends = new ArrayList<>();
     private final List<Daemon> daemons = new ArrayList<>();
     private final Map<String, List<Grant>> grants = new HashMap<>();
     private final Map<ErrorCode, Integer> refusals = new HashMap<>();
-    private final boolean aged;
+    private final boolean keysCarryTime;
     private long firstOffset;
     private long nowMillis = 1_000_000;
     private long tickets;
     private int incarnations;
     private boolean outage;
 
-    ClaimSchedule(long seed, int daemonCount, boolean aged) {
+    ClaimSchedule(long seed, int daemonCount, boolean keysCarryTime) {
         this.random = new Random(seed);
-        this.aged = aged;
+        this.keysCarryTime = keysCarryTime;
         for (int count = 0; count < daemonCount; count++) {
             daemons.add(new Daemon());
         }
@@ -59,33 +60,35 @@
 
     private final class Daemon {
         private final IncarnationId owner = IncarnationId.of("entry-" + incarnations++);
-        private final ClaimKeeper keeper = ClaimKeeper.of(owner, LIMITS, WINDOW_MILLIS, nowMillis);
-        private final Map<Long, String> asked = new HashMap<>();
+        private final ClaimManager manager =
+                ClaimManager.of(owner, LIMITS, WINDOW_MILLIS, nowMillis);
+        private final Map<Long, String> keysByTicket = new HashMap<>();
         private final List<Grant> running = new ArrayList<>();
-        private final Map<ClaimAction.Slot, LogEntry> appends = new HashMap<>();
+        private final Map<ClaimAction.AppendKind, LogEntry> appendsInProgress = new HashMap<>();
         private long position;
 
         private void request() {
             int number = random.nextInt(KEYS);
             ClientAccountId account = ClientAccountId.of("account-" + random.nextInt(2));
             long ticket = tickets++;
-            asked.put(ticket, account + "/" + number);
-            OptionalLong created = aged ? OptionalLong.of(1_000_000) : OptionalLong.empty();
-            carryOut(
-                    keeper.claim(
+            keysByTicket.put(ticket, account + "/" + number);
+            OptionalLong created =
+                    keysCarryTime ? OptionalLong.of(1_000_000) : OptionalLong.empty();
+            execute(
+                    manager.claim(
                             new ClaimRequest(ticket, account, "key-" + number, "same", created),
                             nowMillis,
                             nowMillis + random.nextInt(1_000) - 500));
         }
 
-        private void carryOut(List<ClaimAction> actions) {
+        private void execute(List<ClaimAction> actions) {
             for (ClaimAction action : actions) {
                 if (action instanceof ClaimAction.Append append) {
-                    appends.put(append.slot(), append.entry());
+                    appendsInProgress.put(append.kind(), append.entry());
                 } else if (action instanceof ClaimAction.Granted granted) {
-                    grant(asked.remove(granted.ticket()), granted.claim());
+                    grant(keysByTicket.remove(granted.ticket()), granted.claim());
                 } else if (action instanceof ClaimAction.Declined declined) {
-                    asked.remove(declined.ticket());
+                    keysByTicket.remove(declined.ticket());
                     refusals.merge(declined.code(), 1, Integer::sum);
                 }
             }
@@ -94,11 +97,14 @@
         private void grant(String key, long claim) {
             List<Grant> earlier = grants.computeIfAbsent(key, unused -> new ArrayList<>());
             long logMillis = log.get((int) position).appendedAtMillis();
-            boolean second =
+            boolean alreadyGranted =
                     earlier.stream()
                             .filter(grant -> grant.mayHaveRun)
-                            .anyMatch(grant -> aged || logMillis - grant.atMillis <= WINDOW_MILLIS);
-            if (second) {
+                            .anyMatch(
+                                    grant ->
+                                            keysCarryTime
+                                                    || logMillis - grant.atMillis <= WINDOW_MILLIS);
+            if (alreadyGranted) {
                 throw new AssertionError("key " + key + " was granted twice");
             }
             Grant grant = new Grant(key, logMillis, claim);
@@ -106,61 +112,61 @@
             running.add(grant);
         }
 
-        private void finishOne() {
+        private void finishRequest() {
             if (!running.isEmpty()) {
                 Grant grant = running.remove(random.nextInt(running.size()));
                 Ran ran = Ran.values()[random.nextInt(3)];
                 grant.mayHaveRun = ran != Ran.NO;
-                carryOut(keeper.settle(grant.claim, ran, nowMillis));
+                execute(manager.settle(grant.claim, ran, nowMillis));
             }
         }
 
-        private void endAppend() {
-            List<ClaimAction.Slot> slots = new ArrayList<>(appends.keySet());
-            if (slots.isEmpty()) {
+        private void finishAppend() {
+            List<ClaimAction.AppendKind> kinds = new ArrayList<>(appendsInProgress.keySet());
+            if (kinds.isEmpty()) {
                 return;
             }
-            ClaimAction.Slot slot = slots.get(random.nextInt(slots.size()));
-            LogEntry entry = appends.remove(slot);
-            carryOut(keeper.appended(slot, append(entry), nowMillis));
+            ClaimAction.AppendKind kind = kinds.get(random.nextInt(kinds.size()));
+            LogEntry entry = appendsInProgress.remove(kind);
+            execute(manager.appended(kind, append(entry), nowMillis));
         }
 
-        private void read(int most) {
+        private void read(int maximum) {
             if (position < firstOffset) {
                 position = firstOffset;
-                keeper.gap(firstOffset);
+                manager.recordsExpired(firstOffset);
             }
-            for (int count = 0; count < most && position < log.size(); count++) {
-                List<ClaimAction> actions = keeper.handle(log.get((int) position), nowMillis);
-                carryOut(actions);
+            for (int count = 0; count < maximum && position < log.size(); count++) {
+                List<ClaimAction> actions = manager.handle(log.get((int) position), nowMillis);
+                execute(actions);
                 position++;
             }
             if (position == log.size()) {
-                keeper.caughtUp();
+                manager.caughtUp();
             }
         }
     }
 
-    private ClaimKeeper.AppendOutcome append(LogEntry entry) {
+    private ClaimManager.AppendOutcome append(LogEntry entry) {
         if (outage || random.nextInt(12) == 0) {
-            return ClaimKeeper.AppendOutcome.NOT_WRITTEN;
+            return ClaimManager.AppendOutcome.NOT_WRITTEN;
         }
         return switch (random.nextInt(8)) {
-            case 0 -> ClaimKeeper.AppendOutcome.UNKNOWN;
+            case 0 -> ClaimManager.AppendOutcome.UNKNOWN;
             case 1 -> {
-                delayed.add(entry);
-                yield ClaimKeeper.AppendOutcome.UNKNOWN;
+                delayedAppends.add(entry);
+                yield ClaimManager.AppendOutcome.UNKNOWN;
             }
             case 2 -> {
                 write(entry);
                 if (random.nextBoolean()) {
-                    delayed.add(entry);
+                    delayedAppends.add(entry);
                 }
-                yield ClaimKeeper.AppendOutcome.UNKNOWN;
+                yield ClaimManager.AppendOutcome.UNKNOWN;
             }
             default -> {
                 write(entry);
-                yield ClaimKeeper.AppendOutcome.WRITTEN;
+                yield ClaimManager.AppendOutcome.WRITTEN;
             }
         };
     }
@@ -175,26 +181,26 @@
             Daemon daemon = daemons.get(random.nextInt(daemons.size()));
             switch (random.nextInt(20)) {
                 case 0, 1, 2, 3 -> daemon.request();
-                case 4, 5, 6, 7 -> daemon.endAppend();
+                case 4, 5, 6, 7 -> daemon.finishAppend();
                 case 8, 9, 10, 11 -> daemon.read(1 + random.nextInt(4));
-                case 12, 13 -> daemon.finishOne();
-                case 14, 15 -> daemon.carryOut(daemon.keeper.tick(nowMillis));
+                case 12, 13 -> daemon.finishRequest();
+                case 14, 15 -> daemon.execute(daemon.manager.tick(nowMillis));
                 case 16 -> nowMillis += random.nextInt(3) == 0 ? 8_000 : random.nextInt(600);
-                case 17 -> land();
-                case 18 -> disturb(daemon);
+                case 17 -> writeDelayed();
+                case 18 -> injectFailure(daemon);
                 default -> outage = random.nextInt(4) == 0;
             }
         }
         return new Result(grants.values().stream().mapToInt(List::size).sum(), refusals);
     }
 
-    private void land() {
-        if (!delayed.isEmpty()) {
-            write(delayed.remove(random.nextInt(delayed.size())));
+    private void writeDelayed() {
+        if (!delayedAppends.isEmpty()) {
+            write(delayedAppends.remove(random.nextInt(delayedAppends.size())));
         }
     }
 
-    private void disturb(Daemon daemon) {
+    private void injectFailure(Daemon daemon) {
         if (random.nextInt(6) == 0) {
             firstOffset += random.nextInt((int) (log.size() - firstOffset) + 1);
         } else if (random.nextInt(3) == 0) {
@@ -202,6 +208,6 @@
         }
     }
 
-    /** How much a schedule brought about. */
+    /** The number of grants and refusals of a schedule. */
     record Result(int grants, Map<ErrorCode, Integer> refusals) {}
 }
--- a/core/src/test/java/org/tamaracktrack/core/claim/KeyAgeTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/claim/KeyAgeTest.java
@@ -10,7 +10,7 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 
 class KeyAgeTest {
-    private static final long WINDOW = 100_000;
+    private static final long WINDOW_MILLIS = 100_000;
 
     @Test
     void shouldReadTheTimeWhenTheKeyIsATimeOrderedUuid() {
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void shouldRefuseWhenTheHeaderIsNoTime() {
+    void shouldRefuseWhenTheHeaderIsNotATime() {
         TamaracktrackException failure =
                 assertThrows(
                         TamaracktrackException.class,
@@ -39,9 +39,9 @@
     void shouldRefuseWhenTheKeyIsTooOldOrFromTheFuture() {
         OptionalLong created = OptionalLong.of(1_000_000);
 
-        assertThat(KeyAge.check(created, 1_090_000, WINDOW)).isEmpty();
-        assertThat(KeyAge.check(created, 1_090_001, WINDOW)).hasValue(ErrorCode.KEY_EXPIRED);
-        assertThat(KeyAge.check(created, 990_000, WINDOW)).isEmpty();
-        assertThat(KeyAge.check(created, 989_999, WINDOW)).hasValue(ErrorCode.BAD_REQUEST);
+        assertThat(KeyAge.check(created, 1_090_000, WINDOW_MILLIS)).isEmpty();
+        assertThat(KeyAge.check(created, 1_090_001, WINDOW_MILLIS)).hasValue(ErrorCode.KEY_EXPIRED);
+        assertThat(KeyAge.check(created, 990_000, WINDOW_MILLIS)).isEmpty();
+        assertThat(KeyAge.check(created, 989_999, WINDOW_MILLIS)).hasValue(ErrorCode.BAD_REQUEST);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/ClaimService.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/ClaimService.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.RejectedExecutionException;
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.claim.ClaimAction;
-import org.tamaracktrack.core.claim.ClaimKeeper;
 import org.tamaracktrack.core.claim.ClaimLimits;
+import org.tamaracktrack.core.claim.ClaimManager;
 import org.tamaracktrack.core.claim.ClaimRegister;
 import org.tamaracktrack.core.claim.ClaimRequest;
 import org.tamaracktrack.core.error.ErrorCode;
@@ -31,7 +31,7 @@
 
     private final LogClient log;
     private final ControlThread control;
-    private final ClaimKeeper keeper;
+    private final ClaimManager keeper;
     private final Map<Long, RequestRunner> waiting = new HashMap<>();
     private final ExecutorService claimAppends = appender("append-claims");
     private final ExecutorService outcomeAppends = appender("append-outcomes");
@@ -39,7 +39,7 @@
     private boolean busy;
     private long tickets;
 
-    private ClaimService(LogClient log, ControlThread control, ClaimKeeper keeper) {
+    private ClaimService(LogClient log, ControlThread control, ClaimManager keeper) {
         this.log = log;
         this.control = control;
         this.keeper = keeper;
@@ -50,15 +50,15 @@
             ControlThread control,
             IncarnationId owner,
             ConfigurationSource configuration) {
-        ClaimKeeper keeper =
-                ClaimKeeper.of(
+        ClaimManager keeper =
+                ClaimManager.of(
                         owner,
                         ClaimLimits.standard(),
                         ClaimRegister.UNKNOWN_WINDOW_MILLIS,
                         ControlThread.nowMillis());
         ClaimService service = new ClaimService(log, control, keeper);
         configuration.listen(
-                current -> keeper.window(current.configuration().idempotencyWindowMillis()));
+                current -> keeper.changeWindow(current.configuration().idempotencyWindowMillis()));
         service.follower = LogFollower.start(log, LogStream.CLAIMS, control, service);
         control.every(IDLE_TICK_MILLIS, service::tick);
         return service;
@@ -94,7 +94,7 @@
     }
 
     boolean settled() {
-        return keeper.settled();
+        return keeper.allSettled();
     }
 
     private void tick() {
@@ -109,7 +109,7 @@
     // Ticking ten times as often only while something waits keeps an idle daemon within its part
     // of a core.
     private void tickSoonWhileBusy() {
-        if (!busy && (!waiting.isEmpty() || !keeper.settled())) {
+        if (!busy && (!waiting.isEmpty() || !keeper.allSettled())) {
             busy = true;
             control.after(
                     BUSY_TICK_MILLIS,
@@ -133,16 +133,16 @@
 
     private void append(ClaimAction.Append append) {
         ExecutorService appends =
-                append.slot() == ClaimAction.Slot.CLAIMS ? claimAppends : outcomeAppends;
+                append.kind() == ClaimAction.AppendKind.CLAIMS ? claimAppends : outcomeAppends;
         try {
             appends.execute(
                     () -> {
-                        ClaimKeeper.AppendOutcome outcome = outcomeOf(append);
+                        ClaimManager.AppendOutcome outcome = outcomeOf(append);
                         control.post(
                                 () ->
                                         carryOut(
                                                 keeper.appended(
-                                                        append.slot(),
+                                                        append.kind(),
                                                         outcome,
                                                         ControlThread.nowMillis())));
                     });
@@ -151,14 +151,14 @@
         }
     }
 
-    private ClaimKeeper.AppendOutcome outcomeOf(ClaimAction.Append append) {
+    private ClaimManager.AppendOutcome outcomeOf(ClaimAction.Append append) {
         try {
             log.append(LogStream.CLAIMS, append.entry());
-            return ClaimKeeper.AppendOutcome.WRITTEN;
+            return ClaimManager.AppendOutcome.WRITTEN;
         } catch (TamaracktrackException failure) {
             return failure.code() == ErrorCode.LOG_UNAVAILABLE
-                    ? ClaimKeeper.AppendOutcome.NOT_WRITTEN
-                    : ClaimKeeper.AppendOutcome.UNKNOWN;
+                    ? ClaimManager.AppendOutcome.NOT_WRITTEN
+                    : ClaimManager.AppendOutcome.UNKNOWN;
         }
     }
 
@@ -170,7 +170,7 @@
     @Override
     public void onGap(long firstOffset) {
         LOG.warnf("event=claims-gap first_offset=%d", firstOffset);
-        keeper.gap(firstOffset);
+        keeper.recordsExpired(firstOffset);
     }
 
     @Override
