--- a/core/src/main/java/org/tamaracktrack/core/exchange/AttemptAnswer.java
+++ b/core/src/main/java/org/tamaracktrack/core/exchange/AttemptAnswer.java
@@ -8,26 +8,26 @@
 import org.tamaracktrack.core.id.AttemptId;
 import org.tamaracktrack.core.message.Message;
 
-/** The answer of one attempt as far as it has arrived. */
+/** The part of the answer of one attempt that has been received so far. */
 final class AttemptAnswer {
     private static final String CONTENT_LENGTH = "content-length";
 
     private final AttemptId attempt;
-    private final ExchangeFacts facts;
+    private final ExchangeParameters parameters;
     private final List<byte[]> buffer = new ArrayList<>();
     private int bufferedBytes;
     private Optional<Message.Started> head = Optional.empty();
-    private int chunks;
+    private int chunkCount;
     private long receivedBytes;
     private long unreadBytes;
 
-    private AttemptAnswer(AttemptId attempt, ExchangeFacts facts) {
+    private AttemptAnswer(AttemptId attempt, ExchangeParameters parameters) {
         this.attempt = attempt;
-        this.facts = facts;
+        this.parameters = parameters;
     }
 
-    static AttemptAnswer of(AttemptId attempt, ExchangeFacts facts) {
-        return new AttemptAnswer(attempt, facts);
+    static AttemptAnswer of(AttemptId attempt, ExchangeParameters parameters) {
+        return new AttemptAnswer(attempt, parameters);
     }
 
     boolean hasStarted() {
@@ -42,61 +42,62 @@
         return head.orElseThrow().headers();
     }
 
-    /** Returns what is wrong with the head, if anything is. */
-    Optional<String> started(Message.Started started) {
+    /** Records the head of the answer; returns a description of the error if it is invalid. */
+    Optional<String> onStarted(Message.Started started) {
         if (head.isPresent()) {
-            return Optional.of("started twice: " + attempt);
+            return Optional.of("answer head received twice for attempt " + attempt);
         }
         head = Optional.of(started);
         return Optional.empty();
     }
 
-    /** Returns what is wrong with the chunk, if anything is. */
-    Optional<String> chunk(Message.Chunk chunk) {
+    /** Records a chunk of the answer; returns a description of the error if it is invalid. */
+    Optional<String> onChunk(Message.Chunk chunk) {
         if (head.isEmpty()) {
-            return Optional.of("a chunk before the head: " + attempt);
+            return Optional.of("chunk received before the answer head of attempt " + attempt);
         }
-        if (chunk.sequence() != chunks) {
-            return Optional.of("chunk " + chunk.sequence() + " instead of " + chunks);
+        if (chunk.sequence() != chunkCount) {
+            return Optional.of(
+                    "received chunk " + chunk.sequence() + ", expected chunk " + chunkCount);
         }
-        chunks++;
+        chunkCount++;
         receivedBytes += chunk.bytes().length;
         unreadBytes += chunk.bytes().length;
-        // Credit bounds what a target sends ahead of a slow caller. A target that ignores it would
-        // fill this daemon's memory at the cost of every other caller.
-        if (unreadBytes > (long) facts.creditBytes() + facts.bufferBytes()) {
-            return Optional.of("more bytes than credit: " + unreadBytes);
+        // Credit limits how far a target sends ahead of a slow caller. A target that ignores it
+        // would fill the memory of this daemon at the expense of all other callers.
+        if (unreadBytes > (long) parameters.creditBytes() + parameters.bufferBytes()) {
+            return Optional.of("target exceeded its credit: unread bytes " + unreadBytes);
         }
         buffer.add(chunk.bytes());
         bufferedBytes += chunk.bytes().length;
         return Optional.empty();
     }
 
-    /** Returns what is missing at the end of the answer, if anything is. */
-    Optional<String> finished(Message.Finished finished) {
+    /** Checks the answer at its end; returns a description of the error if it is incomplete. */
+    Optional<String> onFinished(Message.Finished finished) {
         if (head.isEmpty()) {
-            return Optional.of("finished before the head: " + attempt);
+            return Optional.of("end received before the answer head of attempt " + attempt);
         }
-        if (finished.chunks() != chunks) {
-            return Optional.of(chunks + " chunks of " + finished.chunks());
+        if (finished.chunks() != chunkCount) {
+            return Optional.of(chunkCount + " chunks received, expected " + finished.chunks());
         }
         return Optional.ofNullable(headers().get(CONTENT_LENGTH))
                 .filter(length -> !length.equals(Long.toString(receivedBytes)))
-                .map(length -> receivedBytes + " bytes of " + length);
+                .map(length -> receivedBytes + " bytes received, content-length " + length);
     }
 
-    boolean passOn() {
-        return facts.streamed() || bufferedBytes > facts.bufferBytes();
+    boolean shouldForward() {
+        return parameters.streamed() || bufferedBytes > parameters.bufferBytes();
     }
 
-    byte[] takeBuffer() {
+    byte[] drainBuffer() {
         ByteBuffer joined = ByteBuffer.allocate(bufferedBytes);
         buffer.forEach(joined::put);
         clearBuffer();
         return joined.array();
     }
 
-    void discard() {
+    void discardBuffer() {
         unreadBytes -= bufferedBytes;
         clearBuffer();
     }
@@ -106,7 +107,7 @@
         bufferedBytes = 0;
     }
 
-    void read(int bytes) {
+    void callerRead(int bytes) {
         unreadBytes -= bytes;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/exchange/ExchangeAction.java
+++ b/core/src/main/java/org/tamaracktrack/core/exchange/ExchangeAction.java
@@ -8,15 +8,15 @@
 import org.tamaracktrack.core.id.AttemptId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** What is to be done for a request. */
+/** An action to take for a request. */
 public sealed interface ExchangeAction {
 
     /**
-     * Choose a target for the attempt.
+     * Chooses a target for an attempt.
      *
      * @param attempt the attempt
-     * @param tried targets that have had an attempt
-     * @param delayMillis how long to wait first
+     * @param tried the targets that have already had an attempt
+     * @param delayMillis how long to wait first, in milliseconds
      */
     record Route(AttemptId attempt, Set<TargetId> tried, long delayMillis)
             implements ExchangeAction {
@@ -29,94 +29,96 @@
     }
 
     /**
-     * Queue the attempt on the connection to its target.
+     * Queues an attempt on the connection to its target.
      *
      * @param attempt the attempt
-     * @param target where to
+     * @param target the target
      */
     record SendAttempt(AttemptId attempt, TargetId target) implements ExchangeAction {}
 
     /**
-     * Tell the target to stop.
+     * Tells the target to cancel an attempt.
      *
      * @param attempt the attempt
      */
     record CancelAttempt(AttemptId attempt) implements ExchangeAction {}
 
     /**
-     * Let the target send more.
+     * Allows the target to send more bytes of the answer.
      *
      * @param attempt the attempt
-     * @param bytes how many bytes more
+     * @param bytes the number of additional bytes
      */
     record GrantCredit(AttemptId attempt, int bytes) implements ExchangeAction {}
 
     /**
-     * Nothing more is expected of an attempt.
+     * Reports that no further message is expected for an attempt.
      *
      * @param attempt the attempt
      */
-    record AttemptOver(AttemptId attempt) implements ExchangeAction {}
+    record AttemptEnded(AttemptId attempt) implements ExchangeAction {}
 
     /**
-     * Send the caller the whole answer, with its length.
+     * Sends the caller the complete answer, with its length.
      *
      * @param status the HTTP status
-     * @param headers headers to pass on
+     * @param headers the headers to forward
      * @param body the body
      */
     record AnswerWhole(int status, Map<String, String> headers, byte[] body)
             implements ExchangeAction {}
 
     /**
-     * Send the caller the head of an answer of unknown length.
+     * Sends the caller the head of an answer of unknown length.
      *
      * @param status the HTTP status
-     * @param headers headers to pass on
+     * @param headers the headers to forward
      */
     record AnswerHead(int status, Map<String, String> headers) implements ExchangeAction {}
 
     /**
-     * Send the caller a part of the answer.
+     * Sends the caller a part of the answer.
      *
      * @param bytes the part
      */
     record AnswerPart(byte[] bytes) implements ExchangeAction {}
 
-    /** End the caller's answer: it is whole. */
+    /** Ends the answer to the caller, which is complete. */
     record AnswerEnd() implements ExchangeAction {}
 
     /**
-     * Send the caller an error.
+     * Sends the caller an error.
      *
-     * @param code what failed
+     * @param code the error
      * @param ran whether the request ran
-     * @param retryAfterMillis when trying again makes sense, or -1
+     * @param retryAfterMillis after how many milliseconds a retry makes sense, or -1
      */
     record AnswerError(ErrorCode code, Ran ran, long retryAfterMillis) implements ExchangeAction {}
 
-    /** Break the caller's connection off, so that an answer begun never looks whole. */
+    /**
+     * Closes the caller's connection abruptly, so that an incomplete answer never appears complete.
+     */
     record CutCaller() implements ExchangeAction {}
 
     /**
-     * The last word on whether the request ran.
+     * Reports the final outcome: whether the request ran.
      *
      * @param ran whether it ran
      */
     record Settle(Ran ran) implements ExchangeAction {}
 
     /**
-     * A message of an ended attempt was dropped.
+     * Reports that a message of an ended attempt was dropped.
      *
      * @param attempt the attempt
      */
-    record DroppedLate(AttemptId attempt) implements ExchangeAction {}
+    record LateMessageDropped(AttemptId attempt) implements ExchangeAction {}
 
     /**
-     * A target's answer was not what it should be, or an invariant does not hold.
+     * Reports that the answer of a target was invalid or that an invariant was violated.
      *
-     * @param code what failed
-     * @param detail what was seen
+     * @param code the error
+     * @param detail a description of the violation
      */
     record Breach(ErrorCode code, String detail) implements ExchangeAction {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/exchange/ExchangeEvent.java
+++ b/core/src/main/java/org/tamaracktrack/core/exchange/ExchangeEvent.java
@@ -6,17 +6,20 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.message.Message;
 
-/** What happens to a request. */
+/** An event that concerns a request. */
 public sealed interface ExchangeEvent {
 
-    /** The request may be sent: it is read, checked and, if need be, claimed. */
-    record Begun() implements ExchangeEvent {}
+    /**
+     * The request may be sent: it was read and checked, and its idempotency key was claimed if it
+     * has one.
+     */
+    record Ready() implements ExchangeEvent {}
 
     /**
-     * The request may not be sent: its key was refused.
+     * The request may not be sent because its idempotency key was refused.
      *
-     * @param code why
-     * @param retryAfterMillis when trying again makes sense, or -1
+     * @param code the reason
+     * @param retryAfterMillis after how many milliseconds a retry makes sense, or -1
      */
     record Declined(ErrorCode code, long retryAfterMillis) implements ExchangeEvent {}
 
@@ -24,32 +27,32 @@
      * A target was chosen for an attempt.
      *
      * @param attempt the attempt
-     * @param target where to
+     * @param target the chosen target
      */
-    record Chosen(AttemptId attempt, TargetId target) implements ExchangeEvent {}
+    record TargetChosen(AttemptId attempt, TargetId target) implements ExchangeEvent {}
 
     /**
      * An attempt was certainly not sent.
      *
      * @param attempt the attempt
-     * @param code why
+     * @param code the reason
      */
     record NotSent(AttemptId attempt, ErrorCode code) implements ExchangeEvent {}
 
     /**
-     * There is no target for an attempt.
+     * No target is available for an attempt.
      *
      * @param attempt the attempt
-     * @param code why
-     * @param retryAfterMillis when trying again makes sense
+     * @param code the reason
+     * @param retryAfterMillis after how many milliseconds a retry makes sense
      */
     record NoTarget(AttemptId attempt, ErrorCode code, long retryAfterMillis)
             implements ExchangeEvent {}
 
     /**
-     * A target answered.
+     * A target sent a message.
      *
-     * @param message one of refused, started, chunk, finished and failed
+     * @param message a refused, started, chunk, finished or failed message
      */
     record Received(Message message) implements ExchangeEvent {
 
@@ -60,7 +63,7 @@
     }
 
     /**
-     * The connection on which an attempt was sent closed.
+     * The connection on which an attempt was sent was closed.
      *
      * @param attempt the attempt
      */
@@ -69,16 +72,18 @@
     /**
      * Bytes of the answer were written to the caller.
      *
-     * @param bytes how many
+     * @param bytes the number of bytes
      */
     record CallerRead(int bytes) implements ExchangeEvent {}
 
-    /** The caller's connection closed. */
-    record CallerGone() implements ExchangeEvent {}
+    /** The connection to the caller was closed. */
+    record CallerDisconnected() implements ExchangeEvent {}
 
     /** The deadline over all attempts passed. */
     record DeadlinePassed() implements ExchangeEvent {}
 
-    /** The time to wait for a cancelled attempt's verdict passed, or the daemon ends. */
-    record GivenUp() implements ExchangeEvent {}
+    /**
+     * The time to wait for the outcome of a cancelled attempt passed, or the daemon is stopping.
+     */
+    record Abandoned() implements ExchangeEvent {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/exchange/RequestExchange.java
+++ b/core/src/main/java/org/tamaracktrack/core/exchange/RequestExchange.java
@@ -15,22 +15,22 @@
 import org.tamaracktrack.core.retry.RetryRule;
 
 /**
- * The state of one request. The caller is answered once; an attempt is followed by another only
- * when it certainly did not run or the request is idempotent.
+ * The state machine of one request. The caller gets exactly one answer. An attempt is followed by
+ * another only if it certainly did not run or if the request is idempotent.
  */
 public final class RequestExchange {
-    private static final long NO_HINT = -1;
+    private static final long NO_RETRY_AFTER = -1;
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
-    private final ExchangeFacts facts;
-    private final RetryRule rule;
-    private final Set<TargetId> tried = new TreeSet<>();
+    private final ExchangeParameters parameters;
+    private final RetryRule retryRule;
+    private final Set<TargetId> triedTargets = new TreeSet<>();
     private final List<ExchangeAction> actions = new ArrayList<>();
-    private final CallerSide caller;
+    private final CallerResponse response;
     private AttemptId attempt;
     private Phase phase = Phase.NEW;
     private Optional<AttemptAnswer> answer = Optional.empty();
-    private Optional<ExchangeAction.AnswerError> refusal = Optional.empty();
+    private Optional<ExchangeAction.AnswerError> reportedRefusal = Optional.empty();
     private boolean mayHaveRun;
 
     private enum Phase {
@@ -40,42 +40,42 @@
         ENDED
     }
 
-    private RequestExchange(ExchangeFacts facts, RetryRule rule) {
-        this.facts = facts;
-        this.rule = rule;
-        this.attempt = facts.firstAttempt();
-        this.caller = new CallerSide(actions);
+    private RequestExchange(ExchangeParameters parameters, RetryRule retryRule) {
+        this.parameters = parameters;
+        this.retryRule = retryRule;
+        this.attempt = parameters.firstAttempt();
+        this.response = new CallerResponse(actions);
     }
 
     /**
-     * Returns a request that has not begun.
+     * Returns the exchange of a request that has not been sent.
      *
-     * @param facts what does not change
-     * @param rule decides over further attempts
-     * @return the request
+     * @param parameters the properties of the request
+     * @param retryRule decides about further attempts
+     * @return the exchange
      */
-    public static RequestExchange of(ExchangeFacts facts, RetryRule rule) {
-        Objects.requireNonNull(facts, "facts is null");
-        Objects.requireNonNull(rule, "rule is null");
-        return new RequestExchange(facts, rule);
+    public static RequestExchange of(ExchangeParameters parameters, RetryRule retryRule) {
+        Objects.requireNonNull(parameters, "parameters is null");
+        Objects.requireNonNull(retryRule, "retryRule is null");
+        return new RequestExchange(parameters, retryRule);
     }
 
     /**
-     * Takes an event.
+     * Handles an event.
      *
-     * @param event what happened
-     * @param nowMillis the time
-     * @return what to do, in order
+     * @param event the event
+     * @param nowMillis the monotonic time in milliseconds
+     * @return the actions to take, in order
      */
     public List<ExchangeAction> handle(ExchangeEvent event, long nowMillis) {
         Objects.requireNonNull(event, "event is null");
         actions.clear();
-        if (event instanceof ExchangeEvent.Begun) {
-            begun();
+        if (event instanceof ExchangeEvent.Ready) {
+            onReady();
         } else if (event instanceof ExchangeEvent.Declined declined) {
             onDeclined(declined);
-        } else if (event instanceof ExchangeEvent.Chosen chosen) {
-            onChosen(chosen, nowMillis);
+        } else if (event instanceof ExchangeEvent.TargetChosen chosen) {
+            onTargetChosen(chosen, nowMillis);
         } else if (event instanceof ExchangeEvent.NotSent notSent) {
             onNotSent(notSent, nowMillis);
         } else if (event instanceof ExchangeEvent.NoTarget noTarget) {
@@ -86,32 +86,32 @@
             onConnectionLost(lost, nowMillis);
         } else if (event instanceof ExchangeEvent.CallerRead read) {
             onCallerRead(read.bytes());
-        } else if (event instanceof ExchangeEvent.CallerGone) {
-            onCallerGone();
+        } else if (event instanceof ExchangeEvent.CallerDisconnected) {
+            onCallerDisconnected();
         } else if (event instanceof ExchangeEvent.DeadlinePassed) {
             onDeadline();
         } else {
-            onGivenUp();
+            onAbandoned();
         }
         return List.copyOf(actions);
     }
 
     /**
-     * Returns whether nothing more can happen.
+     * Returns whether the exchange has ended.
      *
      * @return true when the request has been answered and settled
      */
-    public boolean ended() {
+    public boolean isEnded() {
         return phase == Phase.ENDED;
     }
 
-    private void begun() {
+    private void onReady() {
         if (phase == Phase.NEW) {
             phase = Phase.ROUTING;
-            if (caller.answered()) {
+            if (response.isAnswered()) {
                 settle(Ran.NO);
             } else {
-                actions.add(new ExchangeAction.Route(attempt, tried, 0));
+                actions.add(new ExchangeAction.Route(attempt, triedTargets, 0));
             }
         }
     }
@@ -119,8 +119,8 @@
     private void onDeclined(ExchangeEvent.Declined declined) {
         if (phase == Phase.NEW) {
             phase = Phase.ENDED;
-            if (!caller.answered()) {
-                caller.error(
+            if (!response.isAnswered()) {
+                response.sendError(
                         new ExchangeAction.AnswerError(
                                 declined.code(),
                                 declined.code().ran(),
@@ -129,36 +129,36 @@
         }
     }
 
-    // Between the choice and the sending the caller may have been told that its request did not
-    // run, or this process may have been paused past the deadline; sending then would make that
-    // answer untrue. So the last word before sending is this state's, not the chooser's.
-    private void onChosen(ExchangeEvent.Chosen chosen, long nowMillis) {
+    // Between the choice of a target and the sending, the caller may have been told that its
+    // request did not run, or this process may have been paused past the deadline. Sending the
+    // request then would make that answer wrong, so the state is checked again here.
+    private void onTargetChosen(ExchangeEvent.TargetChosen chosen, long nowMillis) {
         if (phase != Phase.ROUTING || !chosen.attempt().equals(attempt)) {
             return;
         }
-        if (nowMillis >= facts.deadlineAtMillis()) {
+        if (nowMillis >= parameters.deadlineAtMillis()) {
             onDeadline();
             return;
         }
         phase = Phase.SENT;
-        tried.add(chosen.target());
-        answer = Optional.of(AttemptAnswer.of(attempt, facts));
+        triedTargets.add(chosen.target());
+        answer = Optional.of(AttemptAnswer.of(attempt, parameters));
         actions.add(new ExchangeAction.SendAttempt(attempt, chosen.target()));
     }
 
     private void onNotSent(ExchangeEvent.NotSent notSent, long nowMillis) {
         if (isCurrent(notSent.attempt())) {
-            attemptOver();
-            notRun(notSent.code(), NO_HINT, nowMillis);
+            endAttempt();
+            onNotRun(notSent.code(), NO_RETRY_AFTER, nowMillis);
         }
     }
 
     private void onNoTarget(ExchangeEvent.NoTarget noTarget) {
         if (phase == Phase.ROUTING && noTarget.attempt().equals(attempt)) {
-            ExchangeAction.AnswerError none =
+            ExchangeAction.AnswerError error =
                     new ExchangeAction.AnswerError(
                             noTarget.code(), Ran.NO, noTarget.retryAfterMillis());
-            fail(refusal.orElse(none));
+            fail(reportedRefusal.orElse(error));
         }
     }
 
@@ -168,16 +168,16 @@
 
     private void onMessage(Message message, long nowMillis) {
         AttemptId sender = senderOf(message);
-        // A frame of an attempt that was given up may arrive at any time after; passed on, the
-        // caller would read parts of two answers as one. The attempt's number tells them apart.
+        // Messages of an abandoned attempt may arrive at any time. If they were forwarded, the
+        // caller would read parts of two answers as one. The attempt number distinguishes them.
         if (!isCurrent(sender)) {
-            actions.add(new ExchangeAction.DroppedLate(sender));
+            actions.add(new ExchangeAction.LateMessageDropped(sender));
             return;
         }
         if (message instanceof Message.Refused refused) {
             onRefused(refused, nowMillis);
         } else if (message instanceof Message.Started started) {
-            check(answer.orElseThrow().started(started), nowMillis);
+            reportFault(answer.orElseThrow().onStarted(started), nowMillis);
         } else if (message instanceof Message.Chunk chunk) {
             onChunk(chunk, nowMillis);
         } else if (message instanceof Message.Finished finished) {
@@ -205,52 +205,52 @@
 
     private void onRefused(Message.Refused refused, long nowMillis) {
         if (answer.orElseThrow().hasStarted()) {
-            breach("refused after it had started", nowMillis);
+            reportBreach("attempt refused after its answer had started", nowMillis);
             return;
         }
-        attemptOver();
-        notRun(refused.code(), refused.retryAfterMillis(), nowMillis);
+        endAttempt();
+        onNotRun(refused.code(), refused.retryAfterMillis(), nowMillis);
     }
 
     private void onChunk(Message.Chunk chunk, long nowMillis) {
         AttemptAnswer current = answer.orElseThrow();
-        Optional<String> fault = current.chunk(chunk);
+        Optional<String> fault = current.onChunk(chunk);
         if (fault.isPresent()) {
-            breach(fault.get(), nowMillis);
+            reportBreach(fault.get(), nowMillis);
             return;
         }
-        if (caller.answered()) {
-            current.discard();
+        if (response.isAnswered()) {
+            current.discardBuffer();
             actions.add(new ExchangeAction.GrantCredit(attempt, chunk.bytes().length));
-        } else if (caller.begun() || current.passOn()) {
-            passOn(current);
+        } else if (response.hasStarted() || current.shouldForward()) {
+            forward(current);
         } else {
             actions.add(new ExchangeAction.GrantCredit(attempt, chunk.bytes().length));
         }
     }
 
-    private void passOn(AttemptAnswer current) {
-        caller.head(current.status(), current.headers());
-        byte[] bytes = current.takeBuffer();
+    private void forward(AttemptAnswer current) {
+        response.sendHead(current.status(), current.headers());
+        byte[] bytes = current.drainBuffer();
         if (bytes.length > 0) {
-            caller.part(bytes);
+            response.sendPart(bytes);
         }
     }
 
     private void onFinished(Message.Finished finished, long nowMillis) {
         AttemptAnswer current = answer.orElseThrow();
-        Optional<String> fault = current.finished(finished);
+        Optional<String> fault = current.onFinished(finished);
         if (fault.isPresent()) {
-            breach(fault.get(), nowMillis);
+            reportBreach(fault.get(), nowMillis);
             return;
         }
-        attemptOver();
-        if (!caller.answered()) {
-            if (caller.begun() || facts.streamed()) {
-                passOn(current);
-                caller.end();
+        endAttempt();
+        if (!response.isAnswered()) {
+            if (response.hasStarted() || parameters.streamed()) {
+                forward(current);
+                response.sendEnd();
             } else {
-                caller.whole(current.status(), current.headers(), current.takeBuffer());
+                response.sendWhole(current.status(), current.headers(), current.drainBuffer());
             }
         }
         settle(Ran.YES);
@@ -258,73 +258,79 @@
 
     private void onFailed(Message.Failed failed, long nowMillis) {
         AttemptAnswer current = answer.orElseThrow();
-        attemptOver();
+        endAttempt();
         if (failed.ran() == Ran.NO && !current.hasStarted()) {
-            notRun(failed.code(), NO_HINT, nowMillis);
+            onNotRun(failed.code(), NO_RETRY_AFTER, nowMillis);
         } else {
-            lost(failed.code(), current.hasStarted() ? Ran.YES : failed.ran(), nowMillis);
+            onAttemptLost(failed.code(), current.hasStarted() ? Ran.YES : failed.ran(), nowMillis);
         }
     }
 
     private void onConnectionLost(ExchangeEvent.ConnectionLost lost, long nowMillis) {
         if (isCurrent(lost.attempt())) {
             boolean started = answer.orElseThrow().hasStarted();
-            attemptOver();
-            lost(
+            endAttempt();
+            onAttemptLost(
                     started ? ErrorCode.ANSWER_CUT : ErrorCode.OUTCOME_UNKNOWN,
                     started ? Ran.YES : Ran.UNKNOWN,
                     nowMillis);
         }
     }
 
-    private void check(Optional<String> fault, long nowMillis) {
-        fault.ifPresent(detail -> breach(detail, nowMillis));
+    private void reportFault(Optional<String> fault, long nowMillis) {
+        fault.ifPresent(detail -> reportBreach(detail, nowMillis));
     }
 
-    // A hole, a repeat or a wrong count means that bytes were lost or belong elsewhere; the answer
-    // can't be made whole, so the attempt ends as if its connection had been cut.
-    private void breach(String detail, long nowMillis) {
+    // A missing, repeated or miscounted chunk means that bytes were lost or belong to another
+    // answer. The answer cannot be completed, so the attempt ends as if its connection had been
+    // closed.
+    private void reportBreach(String detail, long nowMillis) {
         actions.add(new ExchangeAction.Breach(ErrorCode.BAD_FRAME, detail));
         actions.add(new ExchangeAction.CancelAttempt(attempt));
-        attemptOver();
-        lost(ErrorCode.ANSWER_CUT, Ran.YES, nowMillis);
+        endAttempt();
+        onAttemptLost(ErrorCode.ANSWER_CUT, Ran.YES, nowMillis);
     }
 
-    private void attemptOver() {
+    private void endAttempt() {
         phase = Phase.ROUTING;
-        actions.add(new ExchangeAction.AttemptOver(attempt));
+        actions.add(new ExchangeAction.AttemptEnded(attempt));
     }
 
-    private void notRun(ErrorCode code, long retryAfterMillis, long nowMillis) {
+    private void onNotRun(ErrorCode code, long retryAfterMillis, long nowMillis) {
         ExchangeAction.AnswerError last =
                 new ExchangeAction.AnswerError(code, Ran.NO, retryAfterMillis);
         ExchangeAction.AnswerError error =
-                refusal.filter(first -> RetryRule.forWantOfRoom(first.code()))
+                reportedRefusal
+                        .filter(first -> RetryRule.forWantOfRoom(first.code()))
                         .filter(first -> !RetryRule.forWantOfRoom(code))
                         .orElse(last);
-        refusal = Optional.of(error);
-        if (caller.answered()) {
+        reportedRefusal = Optional.of(error);
+        if (response.isAnswered()) {
             settle(mayHaveRun ? Ran.UNKNOWN : Ran.NO);
         } else {
-            retryOrFail(rule.afterRefusal(code, attempts(), nowMillis, facts.seed()), error);
+            retryOrFail(
+                    retryRule.afterRefusal(code, attemptCount(), nowMillis, parameters.seed()),
+                    error);
         }
     }
 
-    private void lost(ErrorCode code, Ran ran, long nowMillis) {
+    private void onAttemptLost(ErrorCode code, Ran ran, long nowMillis) {
         mayHaveRun = true;
-        ExchangeAction.AnswerError error = new ExchangeAction.AnswerError(code, ran, NO_HINT);
-        if (caller.answered()) {
+        ExchangeAction.AnswerError error =
+                new ExchangeAction.AnswerError(code, ran, NO_RETRY_AFTER);
+        if (response.isAnswered()) {
             settle(ran);
-        } else if (!facts.idempotent() || caller.begun()) {
-            // What may have run is never sent again unless the caller said that it may be: a
-            // second run would be a second order, charge or report.
+        } else if (!parameters.idempotent() || response.hasStarted()) {
+            // A request that may have run is sent again only if its caller declared it idempotent:
+            // a second run could be a second order, charge or report.
             fail(error);
         } else {
-            retryOrFail(rule.afterLoss(code, attempts(), nowMillis, facts.seed()), error);
+            retryOrFail(
+                    retryRule.afterLoss(code, attemptCount(), nowMillis, parameters.seed()), error);
         }
     }
 
-    private int attempts() {
+    private int attemptCount() {
         return attempt.attempt() + 1;
     }
 
@@ -336,38 +342,39 @@
         attempt = attempt.next();
         phase = Phase.ROUTING;
         answer = Optional.empty();
-        actions.add(new ExchangeAction.Route(attempt, tried, delayMillis.getAsLong()));
+        actions.add(new ExchangeAction.Route(attempt, triedTargets, delayMillis.getAsLong()));
     }
 
     private void onCallerRead(int bytes) {
-        if (phase == Phase.SENT && caller.begun()) {
-            answer.ifPresent(current -> current.read(bytes));
+        if (phase == Phase.SENT && response.hasStarted()) {
+            answer.ifPresent(current -> current.callerRead(bytes));
             actions.add(new ExchangeAction.GrantCredit(attempt, bytes));
         }
     }
 
-    private void onCallerGone() {
-        if (!caller.answered()) {
-            caller.gone();
+    private void onCallerDisconnected() {
+        if (!response.isAnswered()) {
+            response.callerDisconnected();
             abandon();
         }
     }
 
     private void onDeadline() {
-        if (caller.answered()) {
+        if (response.isAnswered()) {
             return;
         }
         boolean running = phase == Phase.SENT || mayHaveRun;
         ErrorCode code =
                 running ? ErrorCode.DEADLINE_WHILE_RUNNING : ErrorCode.DEADLINE_BEFORE_START;
-        caller.error(
+        response.sendError(
                 new ExchangeAction.AnswerError(
-                        code, code.ran(), running ? NO_HINT : DEFAULT_RETRY_AFTER_MILLIS));
+                        code, code.ran(), running ? NO_RETRY_AFTER : DEFAULT_RETRY_AFTER_MILLIS));
         abandon();
     }
 
-    // The caller has its answer, but whether the request ran may still come to be known, and the
-    // key's outcome depends on it: the attempt is cancelled and its verdict awaited.
+    // The caller has its answer, but the outcome of the idempotency key depends on whether the
+    // request ran, which may still become known. The attempt is therefore cancelled and its outcome
+    // awaited.
     private void abandon() {
         if (phase == Phase.SENT) {
             actions.add(new ExchangeAction.CancelAttempt(attempt));
@@ -376,9 +383,9 @@
         }
     }
 
-    private void onGivenUp() {
+    private void onAbandoned() {
         if (phase == Phase.SENT) {
-            attemptOver();
+            endAttempt();
             mayHaveRun = true;
         }
         if (phase != Phase.ENDED) {
@@ -387,18 +394,18 @@
         }
     }
 
-    // "Not run" must be true of the request, not only of its last attempt: once an earlier attempt
-    // may have run, a refusal of a later one leaves the outcome unknown.
+    // "Not run" must hold for the request, not only for its last attempt: if an earlier attempt may
+    // have run, the refusal of a later one leaves the outcome unknown.
     private void fail(ExchangeAction.AnswerError error) {
-        ExchangeAction.AnswerError honest =
+        ExchangeAction.AnswerError reported =
                 mayHaveRun && error.ran() == Ran.NO
                         ? new ExchangeAction.AnswerError(
-                                ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, NO_HINT)
+                                ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, NO_RETRY_AFTER)
                         : error;
-        if (!caller.answered()) {
-            caller.error(honest);
+        if (!response.isAnswered()) {
+            response.sendError(reported);
         }
-        settle(honest.ran());
+        settle(reported.ran());
     }
 
     private void settle(Ran ran) {
--- a/core/src/main/java/org/tamaracktrack/core/exchange/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/exchange/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One caller's request from its arrival to its single answer, over all of its attempts: what is
- * sent to targets, what the caller gets, and what is known of whether the request ran.
+ * Handles one request of a caller from its arrival to its single answer, over all of its attempts:
+ * what is sent to targets, what the caller receives, and whether the request is known to have run.
  */
 package org.tamaracktrack.core.exchange;
--- a/core/src/test/java/org/tamaracktrack/core/exchange/ExchangeSchedule.java
+++ b/core/src/test/java/org/tamaracktrack/core/exchange/ExchangeSchedule.java
@@ -20,89 +20,97 @@
 import org.tamaracktrack.core.retry.RetryRule;
 
 /**
- * One request under a schedule drawn from a seed: refusals, lost connections, frames that are late,
- * doubled, lost or of other attempts, a caller that goes away, deadlines. Checks after each step
- * what the caller was told against what the targets did.
+ * Simulates one request under a random schedule drawn from a seed: refusals, lost connections,
+ * messages that are late, duplicated, lost or of other attempts, a caller that disconnects, and
+ * deadlines. Checks after each step what the caller was told against what the targets did.
  */
 final class ExchangeSchedule {
-    private static final long DEADLINE = 1_000;
-    private static final AttemptId FIRST = AttemptId.of(IncarnationId.of("entry-1"), 1, 0);
+    private static final long DEADLINE_MILLIS = 1_000;
+    private static final AttemptId FIRST_ATTEMPT = AttemptId.of(IncarnationId.of("entry-1"), 1, 0);
 
     private final Random random;
     private final boolean idempotent;
     private final RequestExchange exchange;
-    private final Map<AttemptId, Run> runs = new HashMap<>();
-    private final Set<TargetId> used = new HashSet<>();
-    private final List<Message> wire = new ArrayList<>();
-    private final ByteArrayOutputStream caller = new ByteArrayOutputStream();
-    private Optional<AttemptId> current = Optional.empty();
-    private Optional<ExchangeAction.Route> choosing = Optional.empty();
+    private final Map<AttemptId, TargetRun> runs = new HashMap<>();
+    private final Set<TargetId> usedTargets = new HashSet<>();
+    private final List<Message> undeliveredMessages = new ArrayList<>();
+    private final ByteArrayOutputStream receivedBytes = new ByteArrayOutputStream();
+    private Optional<AttemptId> currentAttempt = Optional.empty();
+    private Optional<ExchangeAction.Route> pendingRoute = Optional.empty();
     private Optional<Ran> settled = Optional.empty();
-    private Optional<Object> ending = Optional.empty();
-    private long now;
+    private Optional<Object> callerOutcome = Optional.empty();
+    private long nowMillis;
 
     ExchangeSchedule(long seed) {
         this.random = new Random(seed);
         this.idempotent = random.nextBoolean();
         this.exchange =
                 RequestExchange.of(
-                        new ExchangeFacts(
-                                FIRST, idempotent, random.nextBoolean(), DEADLINE, 64, 32, seed),
+                        new ExchangeParameters(
+                                FIRST_ATTEMPT,
+                                idempotent,
+                                random.nextBoolean(),
+                                DEADLINE_MILLIS,
+                                64,
+                                32,
+                                seed),
                         RetryRule.of(RetryBudget.of(0)));
     }
 
     /** What a target did with an attempt. */
-    private static final class Run {
+    private static final class TargetRun {
         private boolean mayHaveRun = true;
         private boolean open = true;
         private final StringBuilder body = new StringBuilder();
-        private final List<Message> script = new ArrayList<>();
+        private final List<Message> pendingMessages = new ArrayList<>();
     }
 
-    /** Runs the schedule and returns how the caller's answer ended. */
+    /** Runs the schedule and returns how the answer to the caller ended. */
     Optional<Object> run() {
-        carryOut(exchange.handle(new ExchangeEvent.Begun(), now));
+        execute(exchange.handle(new ExchangeEvent.Ready(), nowMillis));
         for (int step = 0; step < 60; step++) {
-            now += random.nextInt(30);
+            nowMillis += random.nextInt(30);
             step();
         }
-        carryOut(exchange.handle(new ExchangeEvent.DeadlinePassed(), DEADLINE + 1));
-        carryOut(exchange.handle(new ExchangeEvent.GivenUp(), DEADLINE + 2));
-        choosing.ifPresent(this::choose);
-        check(settled.isPresent(), "not settled");
-        check(exchange.ended(), "not ended");
-        return ending;
+        execute(exchange.handle(new ExchangeEvent.DeadlinePassed(), DEADLINE_MILLIS + 1));
+        execute(exchange.handle(new ExchangeEvent.Abandoned(), DEADLINE_MILLIS + 2));
+        pendingRoute.ifPresent(this::choose);
+        check(settled.isPresent(), "the exchange was not settled");
+        check(exchange.isEnded(), "the exchange has not ended");
+        return callerOutcome;
     }
 
     private void step() {
         switch (random.nextInt(24)) {
-            case 0 -> current.ifPresent(this::refuse);
-            case 1 -> current.ifPresent(this::lose);
-            case 2 -> current.ifPresent(this::fail);
-            case 3 -> duplicate();
-            case 4 -> stray();
+            case 0 -> currentAttempt.ifPresent(this::refuse);
+            case 1 -> currentAttempt.ifPresent(this::loseConnection);
+            case 2 -> currentAttempt.ifPresent(this::fail);
+            case 3 -> duplicateMessage();
+            case 4 -> deliverUndelivered();
             case 5 -> handle(new ExchangeEvent.CallerRead(1 + random.nextInt(10)));
             case 6 -> {
                 if (random.nextInt(6) == 0) {
-                    gone();
+                    disconnectCaller();
                 }
             }
-            case 7, 8 -> choosing.ifPresent(this::choose);
+            case 7, 8 -> pendingRoute.ifPresent(this::choose);
             default -> deliver();
         }
     }
 
-    private void gone() {
-        ending = Optional.of("gone");
-        handle(new ExchangeEvent.CallerGone());
+    private void disconnectCaller() {
+        callerOutcome = Optional.of("gone");
+        handle(new ExchangeEvent.CallerDisconnected());
     }
 
     private void refuse(AttemptId attempt) {
-        Run run = runs.get(attempt);
-        if (run.open && run.script.size() == run.body.chars().filter(c -> c == ';').count() + 2) {
+        TargetRun run = runs.get(attempt);
+        if (run.open
+                && run.pendingMessages.size()
+                        == run.body.chars().filter(c -> c == ';').count() + 2) {
             run.mayHaveRun = false;
             run.open = false;
-            run.script.clear();
+            run.pendingMessages.clear();
             ErrorCode[] codes = {
                 ErrorCode.OVERLOADED, ErrorCode.LEAVING, ErrorCode.DEADLINE_BEFORE_START
             };
@@ -110,9 +118,9 @@
         }
     }
 
-    private void lose(AttemptId attempt) {
+    private void loseConnection(AttemptId attempt) {
         runs.get(attempt).open = false;
-        wire.addAll(runs.get(attempt).script);
+        undeliveredMessages.addAll(runs.get(attempt).pendingMessages);
         handle(new ExchangeEvent.ConnectionLost(attempt));
     }
 
@@ -122,27 +130,29 @@
         receive(new Message.Failed(attempt, ErrorCode.OUTCOME_UNKNOWN, ran, load()));
     }
 
-    private void duplicate() {
-        current.map(runs::get)
-                .filter(run -> run.open && !run.script.isEmpty())
-                .ifPresent(run -> receive(run.script.get(0)));
+    private void duplicateMessage() {
+        currentAttempt
+                .map(runs::get)
+                .filter(run -> run.open && !run.pendingMessages.isEmpty())
+                .ifPresent(run -> receive(run.pendingMessages.get(0)));
     }
 
-    private void stray() {
-        if (!wire.isEmpty()) {
-            receive(wire.remove(random.nextInt(wire.size())));
+    private void deliverUndelivered() {
+        if (!undeliveredMessages.isEmpty()) {
+            receive(undeliveredMessages.remove(random.nextInt(undeliveredMessages.size())));
         }
     }
 
     private void deliver() {
-        current.map(runs::get)
-                .filter(run -> run.open && !run.script.isEmpty())
+        currentAttempt
+                .map(runs::get)
+                .filter(run -> run.open && !run.pendingMessages.isEmpty())
                 .ifPresent(
                         run -> {
                             if (random.nextInt(40) == 0) {
-                                run.script.remove(0);
+                                run.pendingMessages.remove(0);
                             } else {
-                                receive(run.script.remove(0));
+                                receive(run.pendingMessages.remove(0));
                             }
                         });
     }
@@ -152,23 +162,23 @@
     }
 
     private void handle(ExchangeEvent event) {
-        carryOut(exchange.handle(event, now));
+        execute(exchange.handle(event, nowMillis));
     }
 
-    private void carryOut(List<ExchangeAction> actions) {
-        actions.forEach(this::carryOut);
+    private void execute(List<ExchangeAction> actions) {
+        actions.forEach(this::execute);
     }
 
-    private void carryOut(ExchangeAction action) {
+    private void execute(ExchangeAction action) {
         if (action instanceof ExchangeAction.Route route) {
             route(route);
         } else if (action instanceof ExchangeAction.SendAttempt send) {
             send(send);
         } else if (action instanceof ExchangeAction.AnswerPart part) {
-            check(ending.isEmpty(), "a part after the end");
-            caller.writeBytes(part.bytes());
+            check(callerOutcome.isEmpty(), "a part was sent after the end of the answer");
+            receivedBytes.writeBytes(part.bytes());
         } else if (action instanceof ExchangeAction.AnswerWhole whole) {
-            caller.writeBytes(whole.body());
+            receivedBytes.writeBytes(whole.body());
             end(whole);
             checkWhole();
         } else if (action instanceof ExchangeAction.AnswerEnd end) {
@@ -176,27 +186,31 @@
             checkWhole();
         } else if (action instanceof ExchangeAction.AnswerError error) {
             end(error);
-            check(caller.size() == 0, "an error after a part");
-            check(error.ran() != Ran.NO || nothingRan(), "not run, but it may have: " + error);
+            check(receivedBytes.size() == 0, "an error was sent after a part of the answer");
+            check(
+                    error.ran() != Ran.NO || nothingRan(),
+                    "reported as not run although it may have run: " + error);
         } else if (action instanceof ExchangeAction.CutCaller cut) {
             end(cut);
         } else if (action instanceof ExchangeAction.Settle settle) {
-            check(settled.isEmpty(), "settled twice");
+            check(settled.isEmpty(), "the exchange was settled twice");
             settled = Optional.of(settle.ran());
-            check(settle.ran() != Ran.NO || nothingRan(), "settled as not run, but it may have");
+            check(
+                    settle.ran() != Ran.NO || nothingRan(),
+                    "settled as not run although it may have run");
         }
     }
 
     private void end(ExchangeAction action) {
-        check(ending.isEmpty(), "a second answer: " + action);
-        ending = Optional.of(action);
+        check(callerOutcome.isEmpty(), "second answer to one request: " + action);
+        callerOutcome = Optional.of(action);
     }
 
     private void checkWhole() {
-        String text = caller.toString(StandardCharsets.UTF_8);
+        String text = receivedBytes.toString(StandardCharsets.UTF_8);
         check(
                 runs.values().stream().anyMatch(run -> run.body.toString().equals(text)),
-                "not one attempt's whole answer: " + text);
+                "not the complete answer of one attempt: " + text);
     }
 
     private boolean nothingRan() {
@@ -204,33 +218,35 @@
     }
 
     private void route(ExchangeAction.Route route) {
-        check(route.tried().equals(used), "tried " + route.tried() + " instead of " + used);
-        current = Optional.empty();
+        check(
+                route.tried().equals(usedTargets),
+                "tried " + route.tried() + " instead of " + usedTargets);
+        currentAttempt = Optional.empty();
         if (random.nextBoolean()) {
-            choosing = Optional.of(route);
+            pendingRoute = Optional.of(route);
         } else {
             choose(route);
         }
     }
 
     private void choose(ExchangeAction.Route route) {
-        choosing = Optional.empty();
+        pendingRoute = Optional.empty();
         TargetId target = TargetId.of("target-" + route.attempt().attempt());
         if (random.nextInt(10) == 0) {
             handle(new ExchangeEvent.NoTarget(route.attempt(), ErrorCode.NO_TARGET, 10));
         } else {
-            handle(new ExchangeEvent.Chosen(route.attempt(), target));
+            handle(new ExchangeEvent.TargetChosen(route.attempt(), target));
         }
     }
 
     private void send(ExchangeAction.SendAttempt send) {
-        check(ending.isEmpty(), "sent after the answer");
-        check(idempotent || nothingRan(), "a request that may not be repeated was sent again");
-        check(used.add(send.target()), "sent twice to " + send.target());
-        Run run = new Run();
+        check(callerOutcome.isEmpty(), "an attempt was sent after the answer");
+        check(idempotent || nothingRan(), "a request that is not idempotent was sent again");
+        check(usedTargets.add(send.target()), "two attempts were sent to " + send.target());
+        TargetRun run = new TargetRun();
         runs.put(send.attempt(), run);
-        current = Optional.of(send.attempt());
-        script(send.attempt(), run);
+        currentAttempt = Optional.of(send.attempt());
+        prepareMessages(send.attempt(), run);
         if (random.nextInt(10) == 0) {
             run.mayHaveRun = false;
             run.open = false;
@@ -238,15 +254,15 @@
         }
     }
 
-    private void script(AttemptId attempt, Run run) {
-        run.script.add(new Message.Started(attempt, 200, Map.of()));
+    private void prepareMessages(AttemptId attempt, TargetRun run) {
+        run.pendingMessages.add(new Message.Started(attempt, 200, Map.of()));
         int chunks = random.nextInt(6);
         for (int sequence = 0; sequence < chunks; sequence++) {
             String text = attempt.attempt() + ":" + sequence + ";";
             run.body.append(text);
-            run.script.add(new Message.Chunk(attempt, sequence, text.getBytes()));
+            run.pendingMessages.add(new Message.Chunk(attempt, sequence, text.getBytes()));
         }
-        run.script.add(new Message.Finished(attempt, chunks, 1, 1, 0, load()));
+        run.pendingMessages.add(new Message.Finished(attempt, chunks, 1, 1, 0, load()));
     }
 
     private static Message.Load load() {
@@ -254,8 +270,8 @@
                 TargetId.of("t"), 0, false, 0, 0, Map.of(), List.of(), List.of(), List.of());
     }
 
-    private static void check(boolean holds, String failure) {
-        if (!holds) {
+    private static void check(boolean condition, String failure) {
+        if (!condition) {
             throw new AssertionError(failure);
         }
     }
--- a/core/src/test/java/org/tamaracktrack/core/exchange/RequestExchangeTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/exchange/RequestExchangeTest.java
@@ -22,7 +22,7 @@
 import org.tamaracktrack.core.retry.RetryRule;
 
 class RequestExchangeTest {
-    private static final AttemptId FIRST = AttemptId.of(IncarnationId.of("entry-1"), 1, 0);
+    private static final AttemptId FIRST_ATTEMPT = AttemptId.of(IncarnationId.of("entry-1"), 1, 0);
     private static final TargetId TARGET = TargetId.of("engine-1");
     private static final Message.Load LOAD =
             new Message.Load(TARGET, 0, false, 0, 0, Map.of(), List.of(), List.of(), List.of());
@@ -30,24 +30,25 @@
     @Group
     @Nested
     class Schedules {
-        // The caller sees one answer, whole and of one attempt, or an error that tells the truth
-        // about whether the request ran; what may not be repeated is never sent a second time.
+        // The caller must get one answer that is complete and from a single attempt, or an error
+        // that states correctly whether the request ran. A request that is not idempotent must
+        // never be sent twice.
         @Property(seed = "4711", tries = 20_000)
-        void shouldAnswerOnceAndTruthfully(@ForAll long seed) {
+        void shouldAnswerOnceAndReportCorrectlyWhetherTheRequestRan(@ForAll long seed) {
             new ExchangeSchedule(seed).run();
         }
 
         @Test
-        void shouldBringAboutEveryEnding() {
-            List<String> endings =
+        void shouldProduceEveryOutcome() {
+            List<String> outcomes =
                     LongStream.range(0, 2_000)
                             .mapToObj(seed -> new ExchangeSchedule(seed).run())
-                            .map(ending -> ending.map(Object::getClass).orElseThrow())
+                            .map(outcome -> outcome.map(Object::getClass).orElseThrow())
                             .map(Class::getSimpleName)
                             .distinct()
                             .collect(Collectors.toList());
 
-            assertThat(endings)
+            assertThat(outcomes)
                     .containsExactly(
                             "AnswerWhole", "AnswerEnd", "AnswerError", "CutCaller", "String");
         }
@@ -55,7 +56,7 @@
         // For longer runs: mvn test -pl core -Dtest=RequestExchangeTest
         // -DargLine="-Dschedules=1000000"
         @Test
-        void shouldHoldInAsManyDrawnSchedulesAsAskedFor() {
+        void shouldHoldInTheConfiguredNumberOfRandomSchedules() {
             Random seeds = new Random();
             for (int run = 0; run < Integer.getInteger("schedules", 0); run++) {
                 long seed = seeds.nextLong();
@@ -68,13 +69,14 @@
         }
     }
 
-    private static RequestExchange sent(boolean idempotent) {
+    private static RequestExchange sentExchange(boolean idempotent) {
         RequestExchange exchange =
                 RequestExchange.of(
-                        new ExchangeFacts(FIRST, idempotent, false, 1_000, 100, 100, 1),
+                        new ExchangeParameters(
+                                FIRST_ATTEMPT, idempotent, false, 1_000, 100, 100, 1),
                         RetryRule.of(RetryBudget.of(0)));
-        exchange.handle(new ExchangeEvent.Begun(), 0);
-        exchange.handle(new ExchangeEvent.Chosen(FIRST, TARGET), 0);
+        exchange.handle(new ExchangeEvent.Ready(), 0);
+        exchange.handle(new ExchangeEvent.TargetChosen(FIRST_ATTEMPT, TARGET), 0);
         return exchange;
     }
 
@@ -82,7 +84,7 @@
         return new ExchangeEvent.Received(new Message.Refused(attempt, code, retryAfter, LOAD));
     }
 
-    private static Object answer(List<ExchangeAction> actions) {
+    private static Object errorIn(List<ExchangeAction> actions) {
         return actions.stream()
                 .filter(ExchangeAction.AnswerError.class::isInstance)
                 .findFirst()
@@ -91,45 +93,50 @@
 
     @Nested
     class NotRun {
-        // A cut after the request was queued on the connection: the target may have read it and
-        // may run it yet, so the caller may not be told that it did not run.
+        // The connection closes after the request was queued on it. The target may have read the
+        // request and may still run it, so the caller must not be told that it did not run.
         @Test
-        void shouldSayUnknownWhenTheConnectionBreaksAfterTheRequestWasQueued() {
-            assertThat(answer(sent(false).handle(new ExchangeEvent.ConnectionLost(FIRST), 5)))
+        void shouldReportUnknownWhenTheConnectionClosesAfterTheRequestWasQueued() {
+            assertThat(
+                            errorIn(
+                                    sentExchange(false)
+                                            .handle(
+                                                    new ExchangeEvent.ConnectionLost(FIRST_ATTEMPT),
+                                                    5)))
                     .isEqualTo(
                             new ExchangeAction.AnswerError(
                                     ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, -1));
         }
 
-        // The first attempt was lost, the second refused: that the second did not run says nothing
-        // of the first, so the request as a whole is unknown.
+        // The first attempt was lost and the second refused. That the second did not run says
+        // nothing about the first, so the outcome of the request is unknown.
         @Test
-        void shouldSayUnknownWhenALaterAttemptIsRefusedAfterOneWasLost() {
-            RequestExchange exchange = sent(true);
-            AttemptId second = FIRST.next();
-            exchange.handle(new ExchangeEvent.ConnectionLost(FIRST), 5);
-            exchange.handle(new ExchangeEvent.Chosen(second, TargetId.of("engine-2")), 6);
+        void shouldReportUnknownWhenALaterAttemptIsRefusedAfterOneWasLost() {
+            RequestExchange exchange = sentExchange(true);
+            AttemptId second = FIRST_ATTEMPT.next();
+            exchange.handle(new ExchangeEvent.ConnectionLost(FIRST_ATTEMPT), 5);
+            exchange.handle(new ExchangeEvent.TargetChosen(second, TargetId.of("engine-2")), 6);
             Message refusal =
                     new Message.Refused(second, ErrorCode.DEADLINE_BEFORE_START, -1, LOAD);
 
-            assertThat(answer(exchange.handle(new ExchangeEvent.Received(refusal), 7)))
+            assertThat(errorIn(exchange.handle(new ExchangeEvent.Received(refusal), 7)))
                     .isEqualTo(
                             new ExchangeAction.AnswerError(
                                     ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, -1));
         }
 
-        // The home of the model has no room, and the next target has not got the model. What the
-        // caller needs to know is the first.
+        // The target that holds the model has no capacity, and the next target does not hold the
+        // model. The caller needs the first reason.
         @Test
-        void shouldNameTheWantOfRoomWhenALaterTargetHasNotGotTheModel() {
-            RequestExchange exchange = sent(true);
-            AttemptId second = FIRST.next();
-            exchange.handle(refused(FIRST, ErrorCode.CANNOT_MEET_CLASS, 70), 5);
-            exchange.handle(new ExchangeEvent.Chosen(second, TargetId.of("engine-2")), 6);
+        void shouldReportTheCapacityRefusalWhenALaterTargetDoesNotHoldTheModel() {
+            RequestExchange exchange = sentExchange(true);
+            AttemptId second = FIRST_ATTEMPT.next();
+            exchange.handle(refused(FIRST_ATTEMPT, ErrorCode.CANNOT_MEET_CLASS, 70), 5);
+            exchange.handle(new ExchangeEvent.TargetChosen(second, TargetId.of("engine-2")), 6);
             exchange.handle(refused(second, ErrorCode.MODEL_NOT_RESIDENT, 9), 7);
 
             assertThat(
-                            answer(
+                            errorIn(
                                     exchange.handle(
                                             new ExchangeEvent.NoTarget(
                                                     second.next(), ErrorCode.NO_TARGET, 5),
@@ -139,32 +146,35 @@
                                     ErrorCode.CANNOT_MEET_CLASS, Ran.NO, 70));
         }
 
-        // The caller was told at its deadline that nothing ran while a target was being chosen;
-        // sending after that would make the answer untrue.
+        // At its deadline the caller was told that nothing ran, while a target was still being
+        // chosen. Sending afterwards would make that answer wrong.
         @Test
         void shouldNotSendWhenTheDeadlineWasAnsweredBeforeATargetWasChosen() {
             RequestExchange exchange =
                     RequestExchange.of(
-                            new ExchangeFacts(FIRST, true, false, 1_000, 100, 100, 1),
+                            new ExchangeParameters(FIRST_ATTEMPT, true, false, 1_000, 100, 100, 1),
                             RetryRule.of(RetryBudget.of(0)));
-            exchange.handle(new ExchangeEvent.Begun(), 0);
+            exchange.handle(new ExchangeEvent.Ready(), 0);
             exchange.handle(new ExchangeEvent.DeadlinePassed(), 1_000);
 
-            assertThat(exchange.handle(new ExchangeEvent.Chosen(FIRST, TARGET), 1_001)).isEmpty();
+            assertThat(
+                            exchange.handle(
+                                    new ExchangeEvent.TargetChosen(FIRST_ATTEMPT, TARGET), 1_001))
+                    .isEmpty();
         }
 
-        // The process was paused between the choice and the sending, past the deadline.
+        // The process was paused past the deadline between the choice of a target and the sending.
         @Test
-        void shouldNotSendWhenTheDeadlineHasPassedAtTheChoice() {
+        void shouldNotSendWhenTheDeadlinePassedBeforeTheTargetWasChosen() {
             RequestExchange exchange =
                     RequestExchange.of(
-                            new ExchangeFacts(FIRST, true, false, 1_000, 100, 100, 1),
+                            new ExchangeParameters(FIRST_ATTEMPT, true, false, 1_000, 100, 100, 1),
                             RetryRule.of(RetryBudget.of(0)));
-            exchange.handle(new ExchangeEvent.Begun(), 0);
+            exchange.handle(new ExchangeEvent.Ready(), 0);
             List<ExchangeAction> actions =
-                    exchange.handle(new ExchangeEvent.Chosen(FIRST, TARGET), 1_000);
+                    exchange.handle(new ExchangeEvent.TargetChosen(FIRST_ATTEMPT, TARGET), 1_000);
 
-            assertThat(answer(actions))
+            assertThat(errorIn(actions))
                     .isEqualTo(
                             new ExchangeAction.AnswerError(
                                     ErrorCode.DEADLINE_BEFORE_START, Ran.NO, 1_000));
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestRunner.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestRunner.java
@@ -11,7 +11,7 @@
 import org.tamaracktrack.core.error.Ran;
 import org.tamaracktrack.core.exchange.ExchangeAction;
 import org.tamaracktrack.core.exchange.ExchangeEvent;
-import org.tamaracktrack.core.exchange.ExchangeFacts;
+import org.tamaracktrack.core.exchange.ExchangeParameters;
 import org.tamaracktrack.core.exchange.RequestExchange;
 import org.tamaracktrack.core.id.AttemptId;
 import org.tamaracktrack.core.id.TargetId;
@@ -58,7 +58,7 @@
         this.times = RequestTimes.arrived(nowMillis);
         this.exchange =
                 RequestExchange.of(
-                        new ExchangeFacts(
+                        new ExchangeParameters(
                                 firstAttempt,
                                 request.idempotent(),
                                 request.stream(),
@@ -93,7 +93,7 @@
         if (request.key().isPresent()) {
             services.claim(request, this);
         } else {
-            handle(new ExchangeEvent.Begun());
+            handle(new ExchangeEvent.Ready());
         }
     }
 
@@ -102,7 +102,7 @@
         channel.execute(
                 () -> {
                     claim = OptionalLong.of(number);
-                    handle(new ExchangeEvent.Begun());
+                    handle(new ExchangeEvent.Ready());
                 });
     }
 
@@ -118,7 +118,7 @@
                     link = Optional.of(chosen);
                     List<ExchangeAction> actions =
                             exchange.handle(
-                                    new ExchangeEvent.Chosen(attempt, chosen.target()),
+                                    new ExchangeEvent.TargetChosen(attempt, chosen.target()),
                                     ControlThread.nowMillis());
                     if (actions.stream().noneMatch(ExchangeAction.SendAttempt.class::isInstance)) {
                         services.ended(chosen.target());
@@ -148,7 +148,7 @@
 
     /** The daemon ends before the request does. For any thread. */
     void giveUp() {
-        post(new ExchangeEvent.GivenUp());
+        post(new ExchangeEvent.Abandoned());
     }
 
     private void note(Message message) {
@@ -173,8 +173,8 @@
         gone = true;
         record.gone();
         services.metrics().event(EntryMetrics.Event.CALLER_GONE);
-        handle(new ExchangeEvent.CallerGone());
-        if (!exchange.ended()) {
+        handle(new ExchangeEvent.CallerDisconnected());
+        if (!exchange.isEnded()) {
             awaitVerdict();
         }
     }
@@ -210,11 +210,11 @@
             awaitVerdict();
         } else if (action instanceof ExchangeAction.GrantCredit credit) {
             link.ifPresent(open -> open.send(new Message.Credit(credit.attempt(), credit.bytes())));
-        } else if (action instanceof ExchangeAction.AttemptOver attemptOver) {
+        } else if (action instanceof ExchangeAction.AttemptEnded attemptOver) {
             attemptOver(attemptOver.attempt());
         } else if (action instanceof ExchangeAction.Settle settle) {
             settle(settle.ran());
-        } else if (action instanceof ExchangeAction.DroppedLate) {
+        } else if (action instanceof ExchangeAction.LateMessageDropped) {
             services.metrics().event(EntryMetrics.Event.LATE_FRAME);
         } else if (action instanceof ExchangeAction.Breach breach) {
             breach(breach);
@@ -321,7 +321,7 @@
 
     private void giveUpIfAnswerSent() {
         if (answerSent || gone) {
-            handle(new ExchangeEvent.GivenUp());
+            handle(new ExchangeEvent.Abandoned());
         }
     }
 
@@ -342,7 +342,7 @@
     // A channel may end in the middle of a batch of actions, and the state is ahead of what has
     // been carried out; reported then, a request that is being settled would count as failed.
     private void endIfOver() {
-        if (!over && batches == 0 && answered && exchange.ended()) {
+        if (!over && batches == 0 && answered && exchange.isEnded()) {
             over = true;
             services.inProgress().remove(this);
             report();
