--- a/core/src/main/java/org/tamaracktrack/core/membership/Membership.java
+++ b/core/src/main/java/org/tamaracktrack/core/membership/Membership.java
@@ -16,32 +16,33 @@
 import org.tamaracktrack.core.retry.Backoff;
 
 /**
- * The targets as one entry daemon sees them. Leaving is learnt from three sources, and the soonest
- * counts: the daemon beside the target, the platform's host list, and an operator's drain record.
+ * Tracks the state of all targets for one entry daemon. Whether a target is leaving is learnt from
+ * three sources, of which the earliest counts: the daemon beside the target, the host list of the
+ * platform, and the drain record of an operator.
  */
 public final class Membership {
-    /** A quiet target is asked for its load after this. */
-    static final long QUERY_MILLIS = 1_000;
+    /** The load of a target is queried when nothing was received from it for this long. */
+    static final long LOAD_QUERY_AFTER_MILLIS = 1_000;
 
-    /** A target that has said nothing for this long gets no new work. */
-    static final long SUSPECT_MILLIS = 3_000;
+    /** A target from which nothing was received for this long gets no new requests. */
+    static final long SUSPECT_AFTER_MILLIS = 3_000;
 
-    /** The connection to a target that has said nothing for this long is closed. */
-    static final long SILENT_MILLIS = 10_000;
+    /** A connection on which nothing was received for this long is closed. */
+    static final long CLOSE_AFTER_MILLIS = 10_000;
 
-    /** A connection that has not opened after this is given up. */
-    static final long CONNECT_MILLIS = 3_000;
+    /** A connection that was not established after this is closed. */
+    static final long CONNECT_TIMEOUT_MILLIS = 3_000;
 
-    private static final Backoff RECONNECT = Backoff.of(100, 3_000);
+    private static final Backoff RECONNECT_BACKOFF = Backoff.of(100, 3_000);
 
-    private final Map<TargetId, Peer> peers = new TreeMap<>();
+    private final Map<TargetId, TargetState> targets = new TreeMap<>();
     private final Map<TargetId, Boolean> drains = new TreeMap<>();
     private Set<HostId> leavingHosts = Set.of();
 
     private Membership() {}
 
     /**
-     * Returns a membership that knows no target.
+     * Returns a membership without targets.
      *
      * @return the membership
      */
@@ -49,51 +50,51 @@
         return new Membership();
     }
 
-    private enum Link {
+    private enum ConnectionState {
         CLOSED,
         CONNECTING,
         OPEN
     }
 
-    private static final class Peer {
-        private LogEntry.OwnershipTaken taken;
+    private static final class TargetState {
+        private LogEntry.OwnershipTaken ownership;
         private IncarnationId owner;
         private HostId host;
         private String address;
         private long offset;
-        private Link link = Link.CLOSED;
+        private ConnectionState connection = ConnectionState.CLOSED;
         private boolean announcedLeaving;
-        private long changedAtMillis;
-        private long heardAtMillis;
-        private long askedAtMillis;
+        private long connectionChangedMillis;
+        private long lastReceivedMillis;
+        private long lastQueryMillis;
         private int failures;
 
-        private Peer(LogEntry.OwnershipTaken taken, long offset) {
-            own(taken, offset);
+        private TargetState(LogEntry.OwnershipTaken taken, long offset) {
+            setOwner(taken, offset);
         }
 
-        private void own(LogEntry.OwnershipTaken newTaken, long newOffset) {
-            taken = newTaken;
+        private void setOwner(LogEntry.OwnershipTaken newTaken, long newOffset) {
+            ownership = newTaken;
             owner = newTaken.owner();
             host = newTaken.host();
             address = newTaken.address();
             offset = newOffset;
-            link = Link.CLOSED;
+            connection = ConnectionState.CLOSED;
             announcedLeaving = false;
             failures = 0;
         }
     }
 
     /**
-     * Takes a record of the ownership stream.
+     * Applies a record of the ownership stream.
      *
      * @param record the record
-     * @return what to do
+     * @return the actions to take
      */
     public List<MembershipAction> handle(LogRecord record) {
         Objects.requireNonNull(record, "record is null");
         if (record.entry() instanceof LogEntry.OwnershipTaken taken) {
-            return taken(taken, record.offset());
+            return ownershipTaken(taken, record.offset());
         }
         if (record.entry() instanceof LogEntry.DrainRequested drain) {
             drains.put(drain.target(), drain.leaving());
@@ -102,208 +103,212 @@
     }
 
     /**
-     * Takes an ownership record, from the log or from a peer. Of two for a target the one with the
-     * higher offset holds.
+     * Applies an ownership record from the log or from a peer. Of two records for a target, the one
+     * with the higher offset is in force.
      *
      * @param taken the record
-     * @param offset its offset
-     * @return what to do
+     * @param offset the offset of the record
+     * @return the actions to take
      */
-    public List<MembershipAction> taken(LogEntry.OwnershipTaken taken, long offset) {
+    public List<MembershipAction> ownershipTaken(LogEntry.OwnershipTaken taken, long offset) {
         Objects.requireNonNull(taken, "taken is null");
-        Peer peer = peers.get(taken.target());
-        if (peer == null) {
-            peers.put(taken.target(), new Peer(taken, offset));
+        TargetState state = targets.get(taken.target());
+        if (state == null) {
+            targets.put(taken.target(), new TargetState(taken, offset));
             return List.of();
         }
-        if (offset <= peer.offset) {
+        if (offset <= state.offset) {
             return List.of();
         }
-        if (peer.owner.equals(taken.owner()) && peer.address.equals(taken.address())) {
-            peer.offset = offset;
+        if (state.owner.equals(taken.owner()) && state.address.equals(taken.address())) {
+            state.offset = offset;
             return List.of();
         }
-        IncarnationId former = peer.owner;
-        peer.own(taken, offset);
+        IncarnationId former = state.owner;
+        state.setOwner(taken, offset);
         return List.of(new MembershipAction.Retire(taken.target(), former));
     }
 
     /**
-     * Returns what another daemon needs to know to reach the targets.
+     * Returns the ownership records that another daemon needs to reach the targets.
      *
      * @return the owner in force of each target
      */
-    public List<Message.Owned> owned() {
-        return peers.entrySet().stream()
+    public List<Message.Owned> ownedTargets() {
+        return targets.entrySet().stream()
                 .map(
                         entry ->
                                 new Message.Owned(
                                         entry.getValue().offset,
-                                        entry.getValue().taken,
+                                        entry.getValue().ownership,
                                         drains.getOrDefault(entry.getKey(), false)))
                 .collect(Collectors.toList());
     }
 
     /**
-     * Takes what another daemon knows, while the log can't be read. The log's own records, read
-     * later, go before it by their offsets.
+     * Applies the ownership records of another daemon while the log cannot be read. Records that
+     * are read from the log later take precedence by their offsets.
      *
-     * @param owned the owners that it knows
-     * @return what to do
+     * @param owned the ownership records of the other daemon
+     * @return the actions to take
      */
-    public List<MembershipAction> offered(List<Message.Owned> owned) {
+    public List<MembershipAction> ownershipOffered(List<Message.Owned> owned) {
         owned.forEach(each -> drains.putIfAbsent(each.taken().target(), each.draining()));
         return owned.stream()
-                .flatMap(each -> taken(each.taken(), each.offset()).stream())
+                .flatMap(each -> ownershipTaken(each.taken(), each.offset()).stream())
                 .collect(Collectors.toList());
     }
 
     /**
-     * The host list was read. While it can't be read, what it said last holds.
+     * Applies a new host list. While the list cannot be read, the previous one remains in force.
      *
-     * @param leaving the hosts that it shows as leaving
+     * @param leaving the hosts that the list shows as leaving
      */
-    public void listed(Set<HostId> leaving) {
+    public void hostListRead(Set<HostId> leaving) {
         leavingHosts = Set.copyOf(leaving);
     }
 
     /**
-     * The daemon beside a target said that it is leaving, or that it is not.
+     * Records that the daemon beside a target announced that it is leaving, or that it is not.
      *
      * @param target the target
      * @param owner the daemon
-     * @param leaving what it said
+     * @param leaving whether it is leaving
      */
-    public void announced(TargetId target, IncarnationId owner, boolean leaving) {
-        current(target, owner).ifPresent(peer -> peer.announcedLeaving = leaving);
+    public void leavingAnnounced(TargetId target, IncarnationId owner, boolean leaving) {
+        findOwned(target, owner).ifPresent(state -> state.announcedLeaving = leaving);
     }
 
     /**
-     * A connection opened and the other end named itself.
+     * Records that a connection was established and the other end identified itself.
      *
      * @param target the target
-     * @param owner the daemon there
-     * @param nowMillis the time
+     * @param owner the daemon at the other end
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void opened(TargetId target, IncarnationId owner, long nowMillis) {
-        current(target, owner)
+    public void connectionOpened(TargetId target, IncarnationId owner, long nowMillis) {
+        findOwned(target, owner)
                 .ifPresent(
-                        peer -> {
-                            peer.link = Link.OPEN;
-                            peer.failures = 0;
-                            peer.heardAtMillis = nowMillis;
-                            peer.askedAtMillis = nowMillis;
+                        state -> {
+                            state.connection = ConnectionState.OPEN;
+                            state.failures = 0;
+                            state.lastReceivedMillis = nowMillis;
+                            state.lastQueryMillis = nowMillis;
                         });
     }
 
     /**
-     * A connection closed or could not be opened.
+     * Records that a connection was closed or could not be established.
      *
      * @param target the target
-     * @param owner the daemon that was or should have been there
-     * @param nowMillis the time
+     * @param owner the daemon that was or should have been at the other end
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void closed(TargetId target, IncarnationId owner, long nowMillis) {
-        current(target, owner)
+    public void connectionClosed(TargetId target, IncarnationId owner, long nowMillis) {
+        findOwned(target, owner)
                 .ifPresent(
-                        peer -> {
-                            peer.link = Link.CLOSED;
-                            peer.failures++;
-                            peer.changedAtMillis = nowMillis;
+                        state -> {
+                            state.connection = ConnectionState.CLOSED;
+                            state.failures++;
+                            state.connectionChangedMillis = nowMillis;
                         });
     }
 
     /**
-     * Something arrived from a target.
+     * Records that a message was received from a target.
      *
      * @param target the target
      * @param owner the daemon
-     * @param nowMillis the time
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void heard(TargetId target, IncarnationId owner, long nowMillis) {
-        current(target, owner).ifPresent(peer -> peer.heardAtMillis = nowMillis);
+    public void messageReceived(TargetId target, IncarnationId owner, long nowMillis) {
+        findOwned(target, owner).ifPresent(state -> state.lastReceivedMillis = nowMillis);
     }
 
-    private Optional<Peer> current(TargetId target, IncarnationId owner) {
-        return Optional.ofNullable(peers.get(target)).filter(peer -> peer.owner.equals(owner));
+    private Optional<TargetState> findOwned(TargetId target, IncarnationId owner) {
+        return Optional.ofNullable(targets.get(target)).filter(state -> state.owner.equals(owner));
     }
 
     /**
-     * Time passed.
+     * Handles the passing of time: opens, checks and closes connections as needed.
      *
-     * @param nowMillis the time
-     * @param seed decides the jitter
-     * @return what to do
+     * @param nowMillis the monotonic time in milliseconds
+     * @param seed the seed of the reconnect jitter
+     * @return the actions to take
      */
     public List<MembershipAction> tick(long nowMillis, long seed) {
-        return peers.entrySet().stream()
+        return targets.entrySet().stream()
                 .flatMap(entry -> tick(entry.getKey(), entry.getValue(), nowMillis, seed).stream())
                 .collect(Collectors.toList());
     }
 
-    private Optional<MembershipAction> tick(TargetId target, Peer peer, long nowMillis, long seed) {
-        return switch (peer.link) {
-            case CLOSED -> connect(target, peer, nowMillis, seed);
-            case CONNECTING -> giveUp(target, peer, nowMillis);
-            case OPEN -> watch(target, peer, nowMillis);
+    private Optional<MembershipAction> tick(
+            TargetId target, TargetState state, long nowMillis, long seed) {
+        return switch (state.connection) {
+            case CLOSED -> connect(target, state, nowMillis, seed);
+            case CONNECTING -> closeIfConnectTimedOut(target, state, nowMillis);
+            case OPEN -> checkSilence(target, state, nowMillis);
         };
     }
 
     private Optional<MembershipAction> connect(
-            TargetId target, Peer peer, long nowMillis, long seed) {
+            TargetId target, TargetState state, long nowMillis, long seed) {
         long delay =
-                peer.failures == 0
+                state.failures == 0
                         ? 0
-                        : RECONNECT.delayMillis(peer.failures, seed ^ target.hashCode());
-        if (nowMillis - peer.changedAtMillis < delay) {
+                        : RECONNECT_BACKOFF.delayMillis(state.failures, seed ^ target.hashCode());
+        if (nowMillis - state.connectionChangedMillis < delay) {
             return Optional.empty();
         }
-        peer.link = Link.CONNECTING;
-        peer.changedAtMillis = nowMillis;
-        return Optional.of(new MembershipAction.Connect(target, peer.owner, peer.address));
+        state.connection = ConnectionState.CONNECTING;
+        state.connectionChangedMillis = nowMillis;
+        return Optional.of(new MembershipAction.Connect(target, state.owner, state.address));
     }
 
-    private Optional<MembershipAction> giveUp(TargetId target, Peer peer, long nowMillis) {
-        return nowMillis - peer.changedAtMillis < CONNECT_MILLIS
+    private Optional<MembershipAction> closeIfConnectTimedOut(
+            TargetId target, TargetState state, long nowMillis) {
+        return nowMillis - state.connectionChangedMillis < CONNECT_TIMEOUT_MILLIS
                 ? Optional.empty()
-                : Optional.of(new MembershipAction.Close(target, peer.owner));
+                : Optional.of(new MembershipAction.Close(target, state.owner));
     }
 
-    // A host that lost its power or its network closes no connection: without this, its requests
-    // would wait for their deadlines, and new ones would go on being sent there.
-    private Optional<MembershipAction> watch(TargetId target, Peer peer, long nowMillis) {
-        long silentMillis = nowMillis - peer.heardAtMillis;
-        if (silentMillis >= SILENT_MILLIS) {
-            return Optional.of(new MembershipAction.Close(target, peer.owner));
+    // A host that lost its power or its network does not close its connections. Without this check
+    // its requests would wait for their deadlines, and new requests would still be sent there.
+    private Optional<MembershipAction> checkSilence(
+            TargetId target, TargetState state, long nowMillis) {
+        long silentMillis = nowMillis - state.lastReceivedMillis;
+        if (silentMillis >= CLOSE_AFTER_MILLIS) {
+            return Optional.of(new MembershipAction.Close(target, state.owner));
         }
-        if (silentMillis >= QUERY_MILLIS && nowMillis - peer.askedAtMillis >= QUERY_MILLIS) {
-            peer.askedAtMillis = nowMillis;
-            return Optional.of(new MembershipAction.Query(target, peer.owner));
+        if (silentMillis >= LOAD_QUERY_AFTER_MILLIS
+                && nowMillis - state.lastQueryMillis >= LOAD_QUERY_AFTER_MILLIS) {
+            state.lastQueryMillis = nowMillis;
+            return Optional.of(new MembershipAction.QueryLoad(target, state.owner));
         }
         return Optional.empty();
     }
 
     /**
-     * Returns whether a target may get new work.
+     * Returns whether new requests may be sent to a target.
      *
      * @param target the target
-     * @param nowMillis the time
+     * @param nowMillis the monotonic time in milliseconds
      * @return true when it is connected, alive and not leaving
      */
     public boolean accepts(TargetId target, long nowMillis) {
-        return Optional.ofNullable(peers.get(target))
-                .filter(peer -> peer.link == Link.OPEN)
-                .filter(peer -> nowMillis - peer.heardAtMillis < SUSPECT_MILLIS)
-                .filter(peer -> !leaving(target, peer))
+        return Optional.ofNullable(targets.get(target))
+                .filter(state -> state.connection == ConnectionState.OPEN)
+                .filter(state -> nowMillis - state.lastReceivedMillis < SUSPECT_AFTER_MILLIS)
+                .filter(state -> !isLeaving(target, state))
                 .isPresent();
     }
 
-    // Each source alone may be late, wrong or silent: the daemon may be gone before it could say
-    // so, the list lags, the log may be out. Work sent to a leaving host would be cut, so one
-    // source that says leaving is enough, and none overrules another.
-    private boolean leaving(TargetId target, Peer peer) {
-        return peer.announcedLeaving
-                || leavingHosts.contains(peer.host)
+    // Each source alone may be late, wrong or missing: the daemon may end before it can announce,
+    // the host list lags, and the log may be unavailable. Requests sent to a leaving host would be
+    // cut off, so one source that reports leaving is enough, and none overrides another.
+    private boolean isLeaving(TargetId target, TargetState state) {
+        return state.announcedLeaving
+                || leavingHosts.contains(state.host)
                 || drains.getOrDefault(target, false);
     }
 
@@ -311,11 +316,11 @@
      * Returns whether a target is known to be leaving.
      *
      * @param target the target
-     * @return true when any source says so
+     * @return true when at least one source reports that it is leaving
      */
-    public boolean leaving(TargetId target) {
-        return Optional.ofNullable(peers.get(target))
-                .filter(peer -> leaving(target, peer))
+    public boolean isLeaving(TargetId target) {
+        return Optional.ofNullable(targets.get(target))
+                .filter(state -> isLeaving(target, state))
                 .isPresent();
     }
 
@@ -326,6 +331,6 @@
      * @return the owner, if one is known
      */
     public Optional<IncarnationId> owner(TargetId target) {
-        return Optional.ofNullable(peers.get(target)).map(peer -> peer.owner);
+        return Optional.ofNullable(targets.get(target)).map(state -> state.owner);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/membership/MembershipAction.java
+++ b/core/src/main/java/org/tamaracktrack/core/membership/MembershipAction.java
@@ -3,29 +3,30 @@
 import org.tamaracktrack.core.id.IncarnationId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** What is to be done about connections to target daemons. */
+/** An action to take on a connection to a target daemon. */
 public sealed interface MembershipAction {
 
     /**
-     * Open a connection.
+     * Opens a connection.
      *
      * @param target the target
-     * @param owner the daemon expected there
-     * @param address its IP number and port
+     * @param owner the daemon that is expected at the address
+     * @param address its IP address and port
      */
     record Connect(TargetId target, IncarnationId owner, String address)
             implements MembershipAction {}
 
     /**
-     * Ask for a load report.
+     * Requests a load report.
      *
      * @param target the target
      * @param owner the daemon
      */
-    record Query(TargetId target, IncarnationId owner) implements MembershipAction {}
+    record QueryLoad(TargetId target, IncarnationId owner) implements MembershipAction {}
 
     /**
-     * Close a connection whose other end has fallen silent.
+     * Closes a connection on which nothing was received for too long, or that was not established
+     * in time.
      *
      * @param target the target
      * @param owner the daemon
@@ -33,7 +34,8 @@
     record Close(TargetId target, IncarnationId owner) implements MembershipAction {}
 
     /**
-     * Another daemon owns the target now: close the connection once nothing is in progress on it.
+     * Closes the connection to a former owner once no request is in progress on it, because another
+     * daemon owns the target now.
      *
      * @param target the target
      * @param owner the former owner
--- a/core/src/main/java/org/tamaracktrack/core/membership/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which targets an entry daemon may send work to: who owns each, whether it is connected and alive,
- * and whether it is leaving.
+ * Tracks which targets an entry daemon may send requests to: the owner of each target, whether it
+ * is connected and alive, and whether it is leaving.
  */
 package org.tamaracktrack.core.membership;
--- a/core/src/test/java/org/tamaracktrack/core/membership/MembershipTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/membership/MembershipTest.java
@@ -18,7 +18,7 @@
     private static final TargetId TARGET = TargetId.of("engine-1");
     private static final HostId HOST = HostId.of("host-1");
     private static final IncarnationId OWNER = IncarnationId.of("target-1-a");
-    private static final IncarnationId NEXT = IncarnationId.of("target-1-b");
+    private static final IncarnationId NEXT_OWNER = IncarnationId.of("target-1-b");
 
     private final Membership membership = Membership.empty();
 
@@ -39,30 +39,31 @@
     void connect() {
         membership.handle(taken(OWNER, 5));
         membership.tick(0, 1);
-        membership.opened(TARGET, OWNER, 0);
+        membership.connectionOpened(TARGET, OWNER, 0);
     }
 
     @Nested
     class Leaving {
         @Test
-        void shouldStopWhenTheDaemonSaysSoWhateverTheListSays() {
-            membership.listed(Set.of());
-            membership.announced(TARGET, OWNER, true);
+        void shouldStopAcceptingWhenTheDaemonAnnouncesLeavingAndTheHostListDoesNot() {
+            membership.hostListRead(Set.of());
+            membership.leavingAnnounced(TARGET, OWNER, true);
 
             assertThat(membership.accepts(TARGET, 1)).isFalse();
         }
 
-        // The daemon is frozen and says nothing, and the operator's record does not arrive: the
-        // lagging list is the first to tell.
+        // The daemon is frozen and announces nothing, and the drain record of the operator does not
+        // arrive: the host list, although it lags, is the first source to report it. It remains in
+        // force while no newer list can be read.
         @Test
-        void shouldStopWhenTheListSaysSoAndKeepToItWhenItCanNoLongerBeRead() {
-            membership.listed(Set.of(HOST));
+        void shouldStopAcceptingWhenTheHostListShowsTheHostAsLeaving() {
+            membership.hostListRead(Set.of(HOST));
 
             assertThat(membership.accepts(TARGET, 1)).isFalse();
         }
 
         @Test
-        void shouldStopWhenAnOperatorDrainsAndGoOnWhenThatIsTakenBack() {
+        void shouldStopAcceptingWhileAnOperatorDrainIsInForce() {
             membership.handle(LogRecord.of(6, 0, new LogEntry.DrainRequested(TARGET, true, "ana")));
             assertThat(membership.accepts(TARGET, 1)).isFalse();
 
@@ -72,10 +73,10 @@
         }
 
         @Test
-        void shouldForgetTheAnnouncementWhenASuccessorOwnsTheTarget() {
-            membership.announced(TARGET, OWNER, true);
-            membership.handle(taken(NEXT, 8));
-            membership.opened(TARGET, NEXT, 1);
+        void shouldDiscardTheAnnouncementWhenASuccessorOwnsTheTarget() {
+            membership.leavingAnnounced(TARGET, OWNER, true);
+            membership.handle(taken(NEXT_OWNER, 8));
+            membership.connectionOpened(TARGET, NEXT_OWNER, 1);
 
             assertThat(membership.accepts(TARGET, 2)).isTrue();
         }
@@ -85,43 +86,44 @@
     class Ownership {
         @Test
         void shouldRetireTheFormerOwnerAndConnectToTheNext() {
-            assertThat(membership.handle(taken(NEXT, 8)))
+            assertThat(membership.handle(taken(NEXT_OWNER, 8)))
                     .containsExactly(new MembershipAction.Retire(TARGET, OWNER));
             assertThat(membership.tick(1, 1))
-                    .containsExactly(new MembershipAction.Connect(TARGET, NEXT, "127.0.0.1:8"));
+                    .containsExactly(
+                            new MembershipAction.Connect(TARGET, NEXT_OWNER, "127.0.0.1:8"));
             assertThat(membership.accepts(TARGET, 1)).isFalse();
         }
 
-        // A paused predecessor wakes up and its old record is offered by a peer: the log's order
+        // A paused predecessor resumes and a peer offers its old record: the order of the log
         // decides, not the order of arrival.
         @Test
         void shouldKeepTheNewestOwnerWhenAnOlderRecordArrivesLater() {
-            membership.handle(taken(NEXT, 8));
+            membership.handle(taken(NEXT_OWNER, 8));
 
             membership.handle(taken(OWNER, 5));
 
-            assertThat(membership.owner(TARGET)).hasValue(NEXT);
+            assertThat(membership.owner(TARGET)).hasValue(NEXT_OWNER);
         }
     }
 
     @Nested
     class Silence {
         @Test
-        void shouldAskSuspectAndCloseWhenATargetFallsSilent() {
-            assertThat(membership.tick(Membership.QUERY_MILLIS, 1))
-                    .containsExactly(new MembershipAction.Query(TARGET, OWNER));
-            assertThat(membership.accepts(TARGET, Membership.SUSPECT_MILLIS - 1)).isTrue();
-            assertThat(membership.accepts(TARGET, Membership.SUSPECT_MILLIS)).isFalse();
-            assertThat(membership.tick(Membership.SILENT_MILLIS, 1))
+        void shouldQueryThenSuspectThenCloseWhenATargetSendsNothing() {
+            assertThat(membership.tick(Membership.LOAD_QUERY_AFTER_MILLIS, 1))
+                    .containsExactly(new MembershipAction.QueryLoad(TARGET, OWNER));
+            assertThat(membership.accepts(TARGET, Membership.SUSPECT_AFTER_MILLIS - 1)).isTrue();
+            assertThat(membership.accepts(TARGET, Membership.SUSPECT_AFTER_MILLIS)).isFalse();
+            assertThat(membership.tick(Membership.CLOSE_AFTER_MILLIS, 1))
                     .containsExactly(new MembershipAction.Close(TARGET, OWNER));
         }
 
         @Test
-        void shouldConnectAgainAfterABackOffThatGrows() {
-            membership.closed(TARGET, OWNER, 0);
+        void shouldReconnectWithGrowingBackoff() {
+            membership.connectionClosed(TARGET, OWNER, 0);
             assertThat(membership.tick(10, 1)).isEmpty();
             assertThat(membership.tick(100, 1)).hasSize(1);
-            membership.closed(TARGET, OWNER, 100);
+            membership.connectionClosed(TARGET, OWNER, 100);
             assertThat(membership.tick(199, 1)).isEmpty();
             assertThat(membership.tick(300, 1))
                     .containsExactlyElementsIn(
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
@@ -96,11 +96,11 @@
     }
 
     void onOwnershipOffered(List<Message.Owned> owned) {
-        carryOut(membership.offered(owned));
+        carryOut(membership.ownershipOffered(owned));
     }
 
     List<Message.Owned> owned() {
-        return membership.owned();
+        return membership.ownedTargets();
     }
 
     void onPlan(LogRecord record) {
@@ -108,7 +108,7 @@
     }
 
     void onHosts(Set<HostId> leaving) {
-        membership.listed(leaving);
+        membership.hostListRead(leaving);
     }
 
     void tick() {
@@ -122,7 +122,7 @@
     private void carryOut(MembershipAction action) {
         if (action instanceof MembershipAction.Connect connect) {
             connect(connect);
-        } else if (action instanceof MembershipAction.Query query) {
+        } else if (action instanceof MembershipAction.QueryLoad query) {
             link(query.target(), query.owner())
                     .ifPresent(link -> link.send(new Message.LoadQuery()));
         } else if (action instanceof MembershipAction.Close close) {
@@ -140,7 +140,8 @@
             peers.connect(connect.target(), connect.owner(), address);
         } catch (TamaracktrackException badAddress) {
             LOG.warnf("event=bad-address target=%s", connect.target());
-            membership.closed(connect.target(), connect.owner(), ControlThread.nowMillis());
+            membership.connectionClosed(
+                    connect.target(), connect.owner(), ControlThread.nowMillis());
         }
     }
 
@@ -163,7 +164,7 @@
     void onOpened(TargetLink link) {
         LOG.infof("event=target-connected target=%s owner=%s", link.target(), link.owner());
         links.put(link.target(), link);
-        membership.opened(link.target(), link.owner(), ControlThread.nowMillis());
+        membership.connectionOpened(link.target(), link.owner(), ControlThread.nowMillis());
     }
 
     void onClosed(TargetId target, IncarnationId owner) {
@@ -174,23 +175,23 @@
                             links.remove(target);
                             table.forget(target);
                         });
-        membership.closed(target, owner, ControlThread.nowMillis());
+        membership.connectionClosed(target, owner, ControlThread.nowMillis());
     }
 
     void onHeard(TargetLink link) {
-        membership.heard(link.target(), link.owner(), ControlThread.nowMillis());
+        membership.messageReceived(link.target(), link.owner(), ControlThread.nowMillis());
     }
 
     void onLoad(TargetLink link, Message.Load load) {
         if (links.get(link.target()) == link && load.target().equals(link.target())) {
-            membership.announced(link.target(), link.owner(), load.leaving());
+            membership.leavingAnnounced(link.target(), link.owner(), load.leaving());
             table.heard(load, ControlThread.nowMillis());
         }
     }
 
     void onLeaving(TargetLink link) {
         LOG.infof("event=target-leaving target=%s", link.target());
-        membership.announced(link.target(), link.owner(), true);
+        membership.leavingAnnounced(link.target(), link.owner(), true);
     }
 
     @Override
