--- a/core/src/main/java/org/tamaracktrack/core/copies/AdapterPlanner.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/AdapterPlanner.java
@@ -1,5 +1,12 @@
 package org.tamaracktrack.core.copies;
 
+import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.AdapterId;
+import org.tamaracktrack.core.id.ModelId;
+import org.tamaracktrack.core.route.EngineSpecification;
+import org.tamaracktrack.core.route.ModelSpecification;
+
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
@@ -9,108 +16,116 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.tamaracktrack.core.fleet.ModelNeed;
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.id.AdapterId;
-import org.tamaracktrack.core.id.ModelId;
-import org.tamaracktrack.core.route.EngineSpecification;
-import org.tamaracktrack.core.route.ModelSpecification;
 
 /**
- * Chooses the next adapter to load or unload. An adapter loads in milliseconds, but a request for
- * one that is nowhere waits for its order to be given; so every adapter of the models that are
- * asked for is placed before anybody asks, and places that are left hold second copies.
+ * Selects the next adapter to load or unload. An adapter loads in milliseconds, but a request for
+ * an adapter that no engine holds also waits until the load order is issued. Every adapter of the
+ * requested models is therefore placed before it is requested, and the remaining adapter slots hold
+ * further replicas.
  */
 public final class AdapterPlanner {
-    /** What a request that waits now adds to the worth of an adapter, in requests a second. */
-    private static final double WAITING_WORTH = 10;
+    /** Value that each waiting request adds to an adapter, in requests per second. */
+    private static final double VALUE_PER_WAITING_REQUEST = 10;
 
-    /** An adapter that nobody asked for of late may be asked for next. */
-    private static final double UNASKED_WORTH = 0.01;
+    /**
+     * Value of an adapter without recent requests, in requests per second. It may be requested
+     * next.
+     */
+    private static final double UNREQUESTED_VALUE = 0.01;
 
-    /** Above what second copies and adapters that nobody asks for are worth. */
-    private static final double PRESSING_WORTH = 0.05;
+    /**
+     * Value above which a move serves current requests. Further replicas and adapters without
+     * requests are worth less.
+     */
+    private static final double URGENT_VALUE = 0.05;
 
-    /** An adapter has to be worth this many times the one that it displaces. */
-    private static final double HYSTERESIS = 2;
+    /** Factor by which the value of an adapter has to exceed that of the adapter it displaces. */
+    private static final double HYSTERESIS_FACTOR = 2;
 
-    /** A copy beside this many others is not worth an order. */
-    private static final int MOST_COPIES = 3;
+    /** Number of replicas of an adapter from which on no further replica is loaded. */
+    private static final int MAX_REPLICAS = 3;
 
     /**
-     * An adapter is not unloaded before the requests that wanted it had time to use it: daemons
-     * learn of it up to a second after its load. Without the rest, with requests for more adapters
-     * than an engine has places, adapters would displace each other and serve nobody.
+     * Time that an adapter stays loaded at least, so that the requests that waited for it can use
+     * it: daemons learn of a load up to one second after it. Without this minimum, adapters would
+     * displace each other without serving a request whenever more adapters are requested than an
+     * engine has slots.
      */
-    private static final long SETTLING_MILLIS = 1_500;
+    private static final long MIN_RESIDENCE_MILLIS = 1_500;
 
     private AdapterPlanner() {}
 
     /**
-     * What the planner sees.
+     * Holds the inputs of one planning pass.
      *
      * @param specification what engines can hold
-     * @param engines the engines that take work
-     * @param asked models that are asked for
-     * @param rate requests a second for an adapter
-     * @param waiting requests that wait for a copy
-     * @param awaitedOnly whether only adapters are placed that requests wait for
-     * @param nowMillis the monotonic time
+     * @param engines the engines that accept new requests, with their tracked state
+     * @param requestedModels the models with recent requests
+     * @param rate returns the requests per second for an adapter
+     * @param waiting number of requests that wait for an adapter
+     * @param waitingOnly whether to place only adapters that requests wait for
+     * @param nowMillis the monotonic time in milliseconds
      */
     public record View(
             EngineSpecification specification,
-            Map<TargetIncarnation, EngineBook> engines,
-            Set<ModelId> asked,
+            Map<TargetIncarnation, EngineTracker> engines,
+            Set<ModelId> requestedModels,
             ToDoubleFunction<ModelNeed> rate,
             Map<ModelNeed, Integer> waiting,
-            boolean awaitedOnly,
+            boolean waitingOnly,
             long nowMillis) {}
 
     /**
-     * An order, and what it gains.
+     * Describes an order and its value.
      *
      * @param order the order
-     * @param worth requests a second that it serves
+     * @param value the requests per second that it serves
      */
-    public record Move(EngineOrder order, double worth) {
+    public record Move(PlacementOrder order, double value) {
 
         /**
-         * Returns whether requests ask for the adapter now. Such a move goes before a load of
-         * weights, during which its engine takes no other order for seconds.
+         * Returns whether the move serves current requests. Such a move takes precedence over a
+         * load of model weights, during which the engine accepts no other order for seconds.
          *
-         * @return true when they do
+         * @return true when the adapter is requested now
          */
-        public boolean pressing() {
-            return worth > PRESSING_WORTH;
+        public boolean isUrgent() {
+            return value > URGENT_VALUE;
         }
     }
 
     /**
-     * Chooses a move.
+     * Selects the move of the highest value.
      *
-     * @param view what is known
-     * @return the move
+     * @param view the inputs of this pass
+     * @return the move; empty when no move is worthwhile
      */
     public static Optional<Move> next(View view) {
-        Map<ModelNeed, Long> copies = copies(view);
-        List<Candidate> candidates =
+        Map<ModelNeed, Long> replicaCounts = replicaCounts(view);
+        List<EngineCandidate> candidates =
                 view.engines().entrySet().stream()
                         .filter(engine -> engine.getValue().idle())
-                        .map(engine -> candidate(view, copies, engine.getKey(), engine.getValue()))
+                        .map(
+                                engine ->
+                                        candidate(
+                                                view,
+                                                replicaCounts,
+                                                engine.getKey(),
+                                                engine.getValue()))
                         .collect(Collectors.toList());
-        return needs(view)
-                .flatMap(need -> moves(view, copies, candidates, need))
-                .max(Comparator.comparingDouble(Move::worth));
+        return candidateNeeds(view)
+                .flatMap(need -> moves(view, replicaCounts, candidates, need))
+                .max(Comparator.comparingDouble(Move::value));
     }
 
-    private static Map<ModelNeed, Long> copies(View view) {
+    private static Map<ModelNeed, Long> replicaCounts(View view) {
         return view.engines().values().stream()
                 .flatMap(AdapterPlanner::adapters)
                 .collect(Collectors.groupingBy(need -> need, Collectors.counting()));
     }
 
-    private static Stream<ModelNeed> adapters(EngineBook book) {
-        return book.held().entrySet().stream()
+    private static Stream<ModelNeed> adapters(EngineTracker tracker) {
+        return tracker.held().entrySet().stream()
                 .flatMap(
                         held ->
                                 held.getValue().stream()
@@ -121,38 +136,44 @@
                                                                 Optional.of(adapter))));
     }
 
-    /** An engine that can take an order, and the adapter that is missed least there. */
-    private record Candidate(
+    /** An engine that accepts orders, with the adapter there whose unloading costs the least. */
+    private record EngineCandidate(
             TargetIncarnation engine,
-            EngineBook book,
-            int freePlaces,
+            EngineTracker tracker,
+            int freeAdapterSlots,
             double freeMegabytes,
             Optional<ModelNeed> victim,
             double loss) {}
 
-    private static Candidate candidate(
-            View view, Map<ModelNeed, Long> copies, TargetIncarnation engine, EngineBook book) {
+    private static EngineCandidate candidate(
+            View view,
+            Map<ModelNeed, Long> replicaCounts,
+            TargetIncarnation engine,
+            EngineTracker tracker) {
         Optional<ModelNeed> victim =
-                adapters(book)
-                        .filter(need -> settled(view, book, need))
-                        .min(Comparator.comparingDouble(need -> kept(view, copies, need)));
-        int used = book.held().values().stream().mapToInt(Collection::size).sum();
-        return new Candidate(
+                adapters(tracker)
+                        .filter(need -> isEvictable(view, tracker, need))
+                        .min(
+                                Comparator.comparingDouble(
+                                        need -> retentionValue(view, replicaCounts, need)));
+        int used = tracker.held().values().stream().mapToInt(Collection::size).sum();
+        return new EngineCandidate(
                 engine,
-                book,
+                tracker,
                 view.specification().adapterPlaces() - used,
-                view.specification().megabytes() - CopyPlanner.used(view.specification(), book),
+                view.specification().megabytes()
+                        - ReplicaPlanner.usedMegabytes(view.specification(), tracker),
                 victim,
-                victim.map(need -> kept(view, copies, need)).orElse(0.0));
+                victim.map(need -> retentionValue(view, replicaCounts, need)).orElse(0.0));
     }
 
-    private static boolean settled(View view, EngineBook book, ModelNeed need) {
-        return book.adapterHeldMillis(need, view.nowMillis()) >= SETTLING_MILLIS;
+    private static boolean isEvictable(View view, EngineTracker tracker, ModelNeed need) {
+        return tracker.adapterHeldMillis(need, view.nowMillis()) >= MIN_RESIDENCE_MILLIS;
     }
 
-    private static Stream<ModelNeed> needs(View view) {
+    private static Stream<ModelNeed> candidateNeeds(View view) {
         return view.specification().models().values().stream()
-                .filter(model -> view.asked().contains(model.model()))
+                .filter(model -> view.requestedModels().contains(model.model()))
                 .flatMap(
                         model ->
                                 model.adapters().stream()
@@ -161,57 +182,64 @@
                                                         new ModelNeed(
                                                                 model.model(),
                                                                 Optional.of(adapter))))
-                .filter(need -> !view.awaitedOnly() || view.waiting().containsKey(need));
+                .filter(need -> !view.waitingOnly() || view.waiting().containsKey(need));
     }
 
-    private static boolean lacks(EngineBook book, ModelNeed need) {
-        Set<AdapterId> adapters = book.held().get(need.model());
+    private static boolean lacksAdapter(EngineTracker tracker, ModelNeed need) {
+        Set<AdapterId> adapters = tracker.held().get(need.model());
         return adapters != null && !adapters.contains(need.adapter().orElseThrow());
     }
 
     private static Stream<Move> moves(
-            View view, Map<ModelNeed, Long> counted, List<Candidate> candidates, ModelNeed need) {
-        long copies = counted.getOrDefault(need, 0L);
-        if (copies >= MOST_COPIES) {
+            View view,
+            Map<ModelNeed, Long> replicaCounts,
+            List<EngineCandidate> candidates,
+            ModelNeed need) {
+        long replicas = replicaCounts.getOrDefault(need, 0L);
+        if (replicas >= MAX_REPLICAS) {
             return Stream.empty();
         }
-        double waits = copies == 0 ? waits(view, need) : 0;
-        double worth = (rate(view, need) + waits) / ((copies + 1) * (copies + 1));
+        double waitingValue = replicas == 0 ? waitingValue(view, need) : 0;
+        double value =
+                (requestValue(view, need) + waitingValue) / ((replicas + 1) * (replicas + 1));
         return candidates.stream()
-                .filter(candidate -> lacks(candidate.book(), need))
-                .flatMap(candidate -> move(view, candidate, need, worth).stream());
+                .filter(candidate -> lacksAdapter(candidate.tracker(), need))
+                .flatMap(candidate -> move(view, candidate, need, value).stream());
     }
 
-    private static double waits(View view, ModelNeed need) {
-        return view.waiting().getOrDefault(need, 0) * WAITING_WORTH;
+    private static double waitingValue(View view, ModelNeed need) {
+        return view.waiting().getOrDefault(need, 0) * VALUE_PER_WAITING_REQUEST;
     }
 
-    private static double rate(View view, ModelNeed need) {
-        return UNASKED_WORTH + view.rate().applyAsDouble(need);
+    private static double requestValue(View view, ModelNeed need) {
+        return UNREQUESTED_VALUE + view.rate().applyAsDouble(need);
     }
 
     private static Optional<Move> move(
-            View view, Candidate candidate, ModelNeed need, double worth) {
-        if (candidate.freePlaces() > 0 && megabytes(view, need) <= candidate.freeMegabytes()) {
-            // Engines with more free places first, so that an engine's share stays even.
-            double spread = candidate.freePlaces() * UNASKED_WORTH / 1_000;
+            View view, EngineCandidate candidate, ModelNeed need, double value) {
+        if (candidate.freeAdapterSlots() > 0
+                && megabytes(view, need) <= candidate.freeMegabytes()) {
+            // Prefers engines with more free adapter slots, which keeps the number of adapters per
+            // engine even.
+            double spreadBonus = candidate.freeAdapterSlots() * UNREQUESTED_VALUE / 1_000;
             return Optional.of(
                     new Move(
-                            new EngineOrder(candidate.engine(), true, need.model(), need.adapter()),
-                            worth + spread));
+                            new PlacementOrder(
+                                    candidate.engine(), true, need.model(), need.adapter()),
+                            value + spreadBonus));
         }
         return candidate
                 .victim()
-                .filter(victim -> worth > HYSTERESIS * candidate.loss())
+                .filter(victim -> value > HYSTERESIS_FACTOR * candidate.loss())
                 .map(
                         victim ->
                                 new Move(
-                                        new EngineOrder(
+                                        new PlacementOrder(
                                                 candidate.engine(),
                                                 false,
                                                 victim.model(),
                                                 victim.adapter()),
-                                        worth - HYSTERESIS * candidate.loss()));
+                                        value - HYSTERESIS_FACTOR * candidate.loss()));
     }
 
     private static double megabytes(View view, ModelNeed need) {
@@ -221,9 +249,10 @@
                 .orElse(view.specification().megabytes());
     }
 
-    private static double kept(View view, Map<ModelNeed, Long> counted, ModelNeed need) {
-        long copies = counted.get(need);
-        double waits = copies == 1 ? waits(view, need) : 0;
-        return (rate(view, need) + waits) / (copies * copies);
+    private static double retentionValue(
+            View view, Map<ModelNeed, Long> replicaCounts, ModelNeed need) {
+        long replicas = replicaCounts.get(need);
+        double waitingValue = replicas == 1 ? waitingValue(view, need) : 0;
+        return (requestValue(view, need) + waitingValue) / (replicas * replicas);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/copies/EngineCapacity.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/EngineCapacity.java
@@ -1,68 +1,77 @@
 package org.tamaracktrack.core.copies;
 
 /**
- * How many requests a second an engine can answer in time, learned from how long requests stay at
- * engines: by Little's law, requests that run divided by requests a second. An engine can't begin
- * more than its slots are freed for. Owned by the control thread.
+ * Estimates how many requests per second an engine can answer in time, from the residence time of
+ * requests at engines. By Little's law that is the number of running requests divided by the
+ * requests per second. An engine cannot start requests faster than its slots become free. Owned by
+ * the control thread.
  */
 public final class EngineCapacity {
-    /** Requests a second at which prompts stall the streams of an engine, whatever its slots. */
-    private static final double MOST_RATE = 12;
+    /**
+     * Requests per second at which prompt processing stalls the streams of an engine, regardless of
+     * its slots.
+     */
+    private static final double MAX_RATE = 12;
 
-    /** The part of an engine's slots that can be in use before requests often wait for one. */
-    private static final double USABLE_SLOTS = 0.75;
+    /** Share of an engine's slots that can be in use before requests often wait for a slot. */
+    private static final double USABLE_SLOT_SHARE = 0.75;
 
-    /** How long a request is taken to stay before any was seen. */
-    private static final double FIRST_STAY_SECONDS = 2;
+    /** Residence time that is assumed before any measurement. */
+    private static final double INITIAL_RESIDENCE_SECONDS = 2;
 
-    private static final double LEAST_STAY_SECONDS = 1;
-    private static final double MOST_STAY_SECONDS = 4;
+    private static final double MIN_RESIDENCE_SECONDS = 1;
+    private static final double MAX_RESIDENCE_SECONDS = 4;
 
-    /** With less than this over all engines a stay can't be told. */
-    private static final double LEAST_RATE = 5;
+    /** Minimum requests per second over all engines to estimate the residence time from. */
+    private static final double MIN_RATE = 5;
 
-    /** What was learned changes to a part of 1 / e in this time. */
-    private static final double MEMORY_MILLIS = 5_000;
+    /** Time constant of the exponential average: the weight of older values falls to 1 / e. */
+    private static final double TIME_CONSTANT_MILLIS = 5_000;
 
-    private double staySeconds = FIRST_STAY_SECONDS;
-    private long atMillis = Long.MIN_VALUE;
+    private double residenceSeconds = INITIAL_RESIDENCE_SECONDS;
+    private long updatedAtMillis = Long.MIN_VALUE;
 
     private EngineCapacity() {}
 
     /**
-     * Returns a capacity of which nothing was learned.
+     * Returns an estimator without measurements.
      *
-     * @return the capacity
+     * @return the estimator
      */
     public static EngineCapacity unknown() {
         return new EngineCapacity();
     }
 
     /**
-     * Takes in how engines are used.
+     * Updates the residence time with the current use of the engines.
      *
-     * @param running requests that run at all engines
-     * @param perSecond requests a second that they get
-     * @param nowMillis the monotonic time
+     * @param running requests that run at all engines together
+     * @param perSecond requests per second that they receive together
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void note(int running, double perSecond, long nowMillis) {
-        double passed = atMillis == Long.MIN_VALUE ? 0 : Math.max(0, nowMillis - atMillis);
-        atMillis = nowMillis;
-        if (perSecond < LEAST_RATE) {
+    public void update(int running, double perSecond, long nowMillis) {
+        double elapsedMillis =
+                updatedAtMillis == Long.MIN_VALUE ? 0 : Math.max(0, nowMillis - updatedAtMillis);
+        updatedAtMillis = nowMillis;
+        if (perSecond < MIN_RATE) {
             return;
         }
-        double seen =
-                Math.max(LEAST_STAY_SECONDS, Math.min(MOST_STAY_SECONDS, running / perSecond));
-        staySeconds += (1 - Math.exp(-passed / MEMORY_MILLIS)) * (seen - staySeconds);
+        double measuredSeconds =
+                Math.max(
+                        MIN_RESIDENCE_SECONDS,
+                        Math.min(MAX_RESIDENCE_SECONDS, running / perSecond));
+        residenceSeconds +=
+                (1 - Math.exp(-elapsedMillis / TIME_CONSTANT_MILLIS))
+                        * (measuredSeconds - residenceSeconds);
     }
 
     /**
-     * Returns the requests a second at which an engine answers seven of ten in time.
+     * Returns the requests per second at which an engine answers 70 % in time.
      *
-     * @param slots requests that it runs at once
-     * @return the rate
+     * @param slots the number of requests that it runs at the same time
+     * @return the rate in requests per second
      */
-    public double busyRate(int slots) {
-        return Math.min(MOST_RATE, USABLE_SLOTS * Math.max(1, slots) / staySeconds);
+    public double saturationRate(int slots) {
+        return Math.min(MAX_RATE, USABLE_SLOT_SHARE * Math.max(1, slots) / residenceSeconds);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/copies/EngineLoads.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/EngineLoads.java
@@ -1,5 +1,8 @@
 package org.tamaracktrack.core.copies;
 
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.ModelId;
+
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -7,83 +10,81 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.stream.Collectors;
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.id.ModelId;
 
 /**
- * How the requests of each model spread over the engines that hold it, and how many of them are
- * answered in time: requests go where they wait least, so a model's requests fill its engines up to
- * one level.
+ * Models how the requests of each model are distributed over the engines that hold it, and how many
+ * of them are answered in time. Requests go to the engine with the shortest wait, so the requests
+ * of a model fill its engines up to the same level.
  *
- * <p>Counted by model alone, an engine with four rarely asked models looked as much in use as one
- * with the two busiest, and stayed idle while others refused.
+ * <p>When load was estimated by model only, an engine with four rarely requested models appeared as
+ * loaded as one with the two busiest models, and stayed idle while other engines refused requests.
  */
 final class EngineLoads {
-    /** Rounds of spreading one model after the other; two come within a few percent of level. */
-    private static final int ROUNDS = 2;
+    /** Rounds of rebalancing all models. Two rounds come within a few percent of an even level. */
+    private static final int BALANCING_ROUNDS = 2;
 
     private final Map<ModelId, Map<TargetIncarnation, Double>> shares = new HashMap<>();
     private final Map<TargetIncarnation, Double> loads = new HashMap<>();
-    private final Map<ModelId, Filling> fillings = new HashMap<>();
-    private final double busyRate;
+    private final Map<ModelId, Baseline> baselines = new HashMap<>();
+    private final double saturationRate;
 
-    /** What does not depend on where a further copy of a model would be. */
-    private record Filling(double[] bases, double inTime) {}
+    /** The part of a gain that does not depend on the engine of the additional replica. */
+    private record Baseline(double[] bases, double inTime) {}
 
-    private EngineLoads(double busyRate) {
-        this.busyRate = busyRate;
+    private EngineLoads(double saturationRate) {
+        this.saturationRate = saturationRate;
     }
 
     /**
-     * Spreads requests over copies.
+     * Distributes requests over replicas.
      *
-     * @param copies the engines that hold each model
-     * @param rates requests a second by model
-     * @param busyRate requests a second at which an engine answers seven of ten in time
+     * @param replicas the engines that hold each model
+     * @param rates requests per second by model
+     * @param saturationRate requests per second at which an engine answers 70 % in time
      * @return the loads
      */
     static EngineLoads of(
-            Map<ModelId, List<TargetIncarnation>> copies,
+            Map<ModelId, List<TargetIncarnation>> replicas,
             Map<ModelId, Double> rates,
-            double busyRate) {
-        Objects.requireNonNull(copies, "copies is null");
+            double saturationRate) {
+        Objects.requireNonNull(replicas, "replicas is null");
         Objects.requireNonNull(rates, "rates is null");
-        EngineLoads spread = new EngineLoads(busyRate);
-        copies.forEach(
+        EngineLoads engineLoads = new EngineLoads(saturationRate);
+        replicas.forEach(
                 (model, engines) ->
-                        spread.beginEvenly(model, engines, rates.getOrDefault(model, 0.0)));
+                        engineLoads.spreadEvenly(model, engines, rates.getOrDefault(model, 0.0)));
         List<ModelId> busiestFirst =
-                copies.keySet().stream()
+                replicas.keySet().stream()
                         .sorted(
                                 Comparator.comparingDouble(
                                         model -> -rates.getOrDefault(model, 0.0)))
                         .collect(Collectors.toList());
-        for (int round = 0; round < ROUNDS; round++) {
-            busiestFirst.forEach(spread::level);
+        for (int round = 0; round < BALANCING_ROUNDS; round++) {
+            busiestFirst.forEach(engineLoads::rebalance);
         }
-        return spread;
+        return engineLoads;
     }
 
-    private void beginEvenly(ModelId model, List<TargetIncarnation> engines, double rate) {
+    private void spreadEvenly(ModelId model, List<TargetIncarnation> engines, double rate) {
         Map<TargetIncarnation, Double> share = new HashMap<>();
         engines.forEach(engine -> share.put(engine, rate / engines.size()));
         shares.put(model, share);
         share.forEach((engine, part) -> loads.merge(engine, part, Double::sum));
     }
 
-    private void level(ModelId model) {
+    private void rebalance(ModelId model) {
         Map<TargetIncarnation, Double> share = shares.get(model);
         double rate = sum(share);
         if (share.size() < 2 || rate == 0) {
             return;
         }
-        double level = levelOf(rate, bases(share));
+        double level = fillLevel(rate, bases(share));
         share.replaceAll(
                 (engine, part) -> {
                     double base = loads.get(engine) - part;
-                    double newer = Math.max(0, level - base);
-                    loads.put(engine, base + newer);
-                    return newer;
+                    double newPart = Math.max(0, level - base);
+                    loads.put(engine, base + newPart);
+                    return newPart;
                 });
     }
 
@@ -91,7 +92,7 @@
         return share.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    /** The load of a model's engines without its own requests, least first. */
+    /** Returns the loads of a model's engines without its own requests, in ascending order. */
     private double[] bases(Map<TargetIncarnation, Double> share) {
         double[] bases = new double[share.size()];
         int count = 0;
@@ -102,8 +103,10 @@
         return bases;
     }
 
-    /** The load up to which requests fill engines that have their bases of other work already. */
-    private static double levelOf(double amount, double[] leastFirst) {
+    /**
+     * Returns the load up to which requests fill engines that already have the given base loads.
+     */
+    private static double fillLevel(double amount, double[] leastFirst) {
         double below = 0;
         for (int count = 1; count < leastFirst.length; count++) {
             below += leastFirst[count - 1];
@@ -120,83 +123,85 @@
     }
 
     /**
-     * Returns the requests a second that a model sends to an engine.
+     * Returns the requests per second that a model sends to an engine.
      *
      * @param model the model
      * @param engine the engine
-     * @return its share there
+     * @return the rate
      */
     double share(ModelId model, TargetIncarnation engine) {
         return shares.getOrDefault(model, Map.of()).getOrDefault(engine, 0.0);
     }
 
     /**
-     * Returns how many requests a second are late at the engines that hold a model. One more copy
-     * can't gain more, whatever is moved to it.
+     * Returns how many requests per second are late at the engines that hold a model. This is the
+     * upper bound for the gain of one more replica.
      *
      * @param model the model
-     * @return requests a second
+     * @return requests per second
      */
-    double late(ModelId model) {
+    double lateRate(ModelId model) {
         return shares.getOrDefault(model, Map.of()).keySet().stream()
-                .mapToDouble(engine -> load(engine) - inTime(load(engine)))
+                .mapToDouble(engine -> load(engine) - inTimeRate(load(engine)))
                 .sum();
     }
 
     /**
-     * Returns how many more requests a second are in time with one more copy.
+     * Returns how many more requests per second are answered in time with one more replica.
      *
      * @param model the model
-     * @param rate requests a second for it
-     * @param engine where the copy would be
-     * @param freed requests a second that the engine would no longer get otherwise
+     * @param rate requests per second for the model
+     * @param engine the engine of the additional replica
+     * @param freed requests per second that the engine no longer receives because replicas are
+     *     unloaded
      * @return the gain
      */
     double gain(ModelId model, double rate, TargetIncarnation engine, double freed) {
-        Filling filling = fillings.computeIfAbsent(model, this::filling);
+        Baseline baseline = baselines.computeIfAbsent(model, this::baseline);
         double base = Math.max(0, load(engine) - freed);
-        double[] bases = Arrays.copyOf(filling.bases(), filling.bases().length + 1);
+        double[] bases = Arrays.copyOf(baseline.bases(), baseline.bases().length + 1);
         bases[bases.length - 1] = base;
         Arrays.sort(bases);
-        return filled(levelOf(rate, bases), bases) - inTime(base) - filling.inTime();
+        return inTimeAtLevel(fillLevel(rate, bases), bases) - inTimeRate(base) - baseline.inTime();
     }
 
-    private Filling filling(ModelId model) {
+    private Baseline baseline(ModelId model) {
         Map<TargetIncarnation, Double> share = shares.getOrDefault(model, Map.of());
-        return new Filling(bases(share), inTime(share));
+        return new Baseline(bases(share), inTimeRate(share));
     }
 
-    private double inTime(Map<TargetIncarnation, Double> share) {
-        return share.keySet().stream().mapToDouble(other -> inTime(load(other))).sum();
+    private double inTimeRate(Map<TargetIncarnation, Double> share) {
+        return share.keySet().stream().mapToDouble(other -> inTimeRate(load(other))).sum();
     }
 
     /**
-     * Returns how many requests a second are no longer in time without a copy, if others remain.
+     * Returns how many requests per second are no longer answered in time without one of the
+     * replicas.
      *
      * @param model the model
-     * @param engine where the copy is
+     * @param engine the engine of the replica
      * @return the loss
      */
     double loss(ModelId model, TargetIncarnation engine) {
         Map<TargetIncarnation, Double> share = shares.getOrDefault(model, Map.of());
-        double before = inTime(share);
+        double before = inTimeRate(share);
         Map<TargetIncarnation, Double> others = new HashMap<>(share);
-        double left = inTime(load(engine) - share(model, engine));
+        double remaining = inTimeRate(load(engine) - share(model, engine));
         others.remove(engine);
         if (others.isEmpty()) {
-            return before - left;
+            return before - remaining;
         }
         double[] bases = bases(others);
-        return before - left - filled(levelOf(sum(share), bases), bases);
+        return before - remaining - inTimeAtLevel(fillLevel(sum(share), bases), bases);
     }
 
-    private double filled(double level, double[] bases) {
-        return Arrays.stream(bases).map(base -> inTime(Math.max(level, base))).sum();
+    private double inTimeAtLevel(double level, double[] bases) {
+        return Arrays.stream(bases).map(base -> inTimeRate(Math.max(level, base))).sum();
     }
 
-    /** Requests a second that an engine answers in time, of those that it gets. */
-    private double inTime(double load) {
-        double busy = load / busyRate;
-        return load / Math.sqrt(1 + busy * busy);
+    /** Returns how many requests per second an engine answers in time at a given load. */
+    private double inTimeRate(double load) {
+        double relativeLoad = load / saturationRate;
+        return load / Math.sqrt(1 + relativeLoad * relativeLoad);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/copies/EngineState.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/EngineState.java
@@ -1,13 +1,16 @@
 package org.tamaracktrack.core.copies;
 
-/** Whether an engine can be given an order, and why not. */
+/**
+ * States whether an engine can receive an order, or why it cannot. The constants' names appear in
+ * the log.
+ */
 public enum EngineState {
-    /** It can. */
+    /** It can receive an order. */
     IDLE,
-    /** An order is on its way or being carried out. */
+    /** An order is pending or in progress. */
     BUSY,
-    /** Room was made there for a model that is not being loaded yet. */
+    /** Memory is reserved for a model whose load has not begun. */
     RESERVED,
-    /** The outcome of an order is not known, or no report has come yet. */
+    /** The outcome of an order is unknown, or the engine has not reported yet. */
     UNSURE
 }
--- a/core/src/main/java/org/tamaracktrack/core/copies/UnansweredOrders.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/UnansweredOrders.java
@@ -1,43 +1,46 @@
 package org.tamaracktrack.core.copies;
 
 /**
- * Whether orders go unanswered of late. An engine whose order was not answered gets no other until
- * its report has told the outcome, so orders that nobody waits for keep it from those that many
- * wait for. Owned by the control thread.
+ * Tracks whether orders were left unanswered recently. An engine whose order was not answered
+ * receives no other order until its report shows the outcome. Orders that no request waits for
+ * would therefore delay orders that many requests wait for. Owned by the control thread.
  */
 public final class UnansweredOrders {
-    /** About the time of two orders without an answer, with the reports that settle them. */
-    private static final long RECENT_MILLIS = 2_000;
+    /**
+     * Approximate duration of two unanswered orders together with the reports that show their
+     * outcome.
+     */
+    private static final long RECENT_WINDOW_MILLIS = 2_000;
 
-    private long lastMillis = Long.MIN_VALUE / 2;
+    private long lastUnansweredMillis = Long.MIN_VALUE / 2;
 
     private UnansweredOrders() {}
 
     /**
-     * Returns a state in which every order was answered.
+     * Returns a tracker without unanswered orders.
      *
-     * @return the state
+     * @return the tracker
      */
     public static UnansweredOrders none() {
         return new UnansweredOrders();
     }
 
     /**
-     * An order was not answered.
+     * Records that an order was not answered.
      *
-     * @param nowMillis the monotonic time
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void note(long nowMillis) {
-        lastMillis = nowMillis;
+    public void recordUnanswered(long nowMillis) {
+        lastUnansweredMillis = nowMillis;
     }
 
     /**
-     * Returns whether an order was not answered of late.
+     * Returns whether an order was left unanswered recently.
      *
-     * @param nowMillis the monotonic time
-     * @return true when only orders are worth giving that requests wait for
+     * @param nowMillis the monotonic time in milliseconds
+     * @return true when only orders that requests wait for should be issued
      */
-    public boolean recent(long nowMillis) {
-        return nowMillis - lastMillis < RECENT_MILLIS;
+    public boolean anyRecent(long nowMillis) {
+        return nowMillis - lastUnansweredMillis < RECENT_WINDOW_MILLIS;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/copies/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/package-info.java
@@ -1,2 +1,2 @@
-/** Which engines hold copies of which models and adapters, and the orders that bring it about. */
+/** Decides which engines hold replicas of which models and adapters, and which orders to issue. */
 package org.tamaracktrack.core.copies;
--- a/core/src/test/java/org/tamaracktrack/core/copies/AdapterPlannerTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/AdapterPlannerTest.java
@@ -2,15 +2,6 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
-import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.ModelNeed;
@@ -23,20 +14,30 @@
 import org.tamaracktrack.core.route.EngineSpecification;
 import org.tamaracktrack.core.route.ModelSpecification;
 
-/** The load pattern: a model's requests name one of many adapters; an engine has few places. */
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+
+/** Covers a model whose requests name one of many adapters, on engines with few adapter slots. */
 class AdapterPlannerTest {
-    private static final int PLACES = 2;
+    private static final int ADAPTER_SLOTS = 2;
     private static final double ENGINE_MEGABYTES = 220;
     private static final double MODEL_MEGABYTES = 70;
     private static final double ADAPTER_MEGABYTES = 1;
     private static final ModelId MODEL = ModelId.of("model");
 
-    private final Map<TargetIncarnation, EngineBook> engines = new LinkedHashMap<>();
+    private final Map<TargetIncarnation, EngineTracker> engines = new LinkedHashMap<>();
     private final Map<ModelNeed, Double> rates = new HashMap<>();
     private final Map<ModelNeed, Integer> waiting = new HashMap<>();
-    private boolean awaitedOnly;
+    private boolean waitingOnly;
     private List<AdapterId> adapters = adapters("busy", "calm", "idle");
-    private int ratesRead;
+    private int rateLookups;
     private long nowMillis = 10_000;
 
     private static List<AdapterId> adapters(String... names) {
@@ -47,10 +48,10 @@
         return new ModelNeed(MODEL, Optional.of(AdapterId.of(adapter)));
     }
 
-    private EngineBook engine(String name, String... held) {
-        EngineBook book = EngineBook.of(Targets.HOME);
+    private EngineTracker engine(String name, String... held) {
+        EngineTracker tracker = EngineTracker.of(Targets.HOME);
         List<HeldModel> models = List.of(new HeldModel(MODEL, Set.copyOf(adapters(held))));
-        book.report(
+        tracker.applyReport(
                 new EngineReport(
                         0,
                         false,
@@ -61,8 +62,8 @@
                         Set.of(),
                         Set.of(MODEL)),
                 0);
-        engines.put(new TargetIncarnation(TargetId.of(name), 0), book);
-        return book;
+        engines.put(new TargetIncarnation(TargetId.of(name), 0), tracker);
+        return tracker;
     }
 
     private Optional<AdapterPlanner.Move> next() {
@@ -72,20 +73,20 @@
         return AdapterPlanner.next(
                 new AdapterPlanner.View(
                         new EngineSpecification(
-                                64, ENGINE_MEGABYTES, PLACES, 1.4, Map.of(MODEL, model)),
+                                64, ENGINE_MEGABYTES, ADAPTER_SLOTS, 1.4, Map.of(MODEL, model)),
                         engines,
                         Set.of(MODEL),
                         need -> {
-                            ratesRead++;
+                            rateLookups++;
                             return rates.getOrDefault(need, 0.0);
                         },
                         waiting,
-                        awaitedOnly,
+                        waitingOnly,
                         nowMillis));
     }
 
     @Test
-    void shouldLoadTheAdapterThatIsAskedForMostFirst() {
+    void shouldLoadTheMostRequestedAdapterFirst() {
         engine("one");
         rates.put(need("busy"), 2.0);
         rates.put(need("calm"), 1.0);
@@ -94,27 +95,27 @@
 
         assertThat(move.order().load()).isTrue();
         assertThat(move.order().adapter()).isEqualTo(need("busy").adapter());
-        assertThat(move.pressing()).isTrue();
+        assertThat(move.isUrgent()).isTrue();
     }
 
     @Test
-    void shouldPlaceAnAdapterThatNobodyAsksForInAFreePlaceWithoutHaste() {
+    void shouldLoadAnUnrequestedAdapterWithoutUrgencyWhenASlotIsFree() {
         engine("one", "busy");
         adapters = adapters("busy", "idle");
 
         AdapterPlanner.Move move = next().orElseThrow();
 
         assertThat(move.order().adapter()).isEqualTo(need("idle").adapter());
-        assertThat(move.pressing()).isFalse();
+        assertThat(move.isUrgent()).isFalse();
     }
 
-    // Guards against engines that take no model for seconds, since orders of adapters that nobody
-    // waits for go unanswered there one after the other.
+    // Guards against engines that accept no model order for seconds because a series of orders for
+    // adapters that no request waits for is left unanswered there.
     @Test
-    void shouldBringOnlyWhatRequestsWaitForWhenOrdersGoUnanswered() {
+    void shouldLoadOnlyAwaitedAdaptersWhenOrdersAreUnanswered() {
         engine("one", "busy");
         rates.put(need("calm"), 2.0);
-        awaitedOnly = true;
+        waitingOnly = true;
         assertThat(next()).isEmpty();
 
         waiting.put(need("calm"), 1);
@@ -122,7 +123,7 @@
     }
 
     @Test
-    void shouldUnloadTheAdapterThatIsMissedLeastWhenAWaitingRequestNeedsItsPlace() {
+    void shouldUnloadTheLeastRequestedAdapterWhenAWaitingRequestNeedsItsSlot() {
         engine("one", "busy", "idle");
         rates.put(need("busy"), 2.0);
         waiting.put(need("calm"), 1);
@@ -134,7 +135,7 @@
     }
 
     @Test
-    void shouldKeepAdaptersThatAreAskedForNearlyAsMuch() {
+    void shouldKeepAdaptersThatAreRequestedNearlyAsOften() {
         engine("one", "busy", "calm");
         rates.put(need("busy"), 2.0);
         rates.put(need("calm"), 1.5);
@@ -143,33 +144,33 @@
         assertThat(next()).isEmpty();
     }
 
-    // Requests wait for three adapters, an engine has two places. The giver takes one out for the
-    // third, which makes the first wait again, and so on: an order every few milliseconds, and no
-    // adapter stays for long enough to serve the requests that it was loaded for.
+    // Guards against endless unloads and loads when requests wait for three adapters and the
+    // engine has two slots. Each load displaced an adapter that requests still waited for, with an
+    // order every few milliseconds, and no adapter stayed long enough to serve a request.
     @Test
-    void shouldComeToRestWhenRequestsWaitForMoreAdaptersThanThereArePlaces() {
-        EngineBook book = engine("one");
+    void shouldStopIssuingOrdersWhenRequestsWaitForMoreAdaptersThanThereAreSlots() {
+        EngineTracker tracker = engine("one");
         List.of("busy", "calm", "idle").forEach(name -> waiting.put(need(name), 1));
 
         int orders = 0;
         Optional<AdapterPlanner.Move> move = next();
         while (move.isPresent() && orders < 100) {
-            book.sending(move.get().order());
-            book.accepted(nowMillis);
+            tracker.beginOrder(move.get().order());
+            tracker.orderAccepted(nowMillis);
             orders++;
             nowMillis += 6;
             move = next();
         }
 
-        assertThat(orders).isEqualTo(PLACES);
+        assertThat(orders).isEqualTo(ADAPTER_SLOTS);
     }
 
     @Test
-    void shouldMakeRoomForTheNextOnceTheRequestsThatWaitedWereServed() {
-        EngineBook book = engine("one", "calm");
+    void shouldUnloadAnAdapterOnceTheRequestsThatWaitedForItWereServed() {
+        EngineTracker tracker = engine("one", "calm");
         waiting.put(need("busy"), 1);
-        book.sending(next().orElseThrow().order());
-        book.accepted(nowMillis);
+        tracker.beginOrder(next().orElseThrow().order());
+        tracker.orderAccepted(nowMillis);
         waiting.clear();
         waiting.put(need("idle"), 1);
         rates.put(need("calm"), 100.0);
@@ -183,10 +184,10 @@
     }
 
     @Test
-    void shouldOrderNothingOfAnEngineThatIsCarryingAnOrderOut() {
+    void shouldIssueNoOrderToAnEngineWithAPendingOrder() {
         engine("one")
-                .sending(
-                        new EngineOrder(
+                .beginOrder(
+                        new PlacementOrder(
                                 engines.keySet().iterator().next(),
                                 true,
                                 MODEL,
@@ -196,10 +197,11 @@
         assertThat(next()).isEmpty();
     }
 
-    // Asked for each pair of adapter and engine, the rates of a grown fleet were read a hundred
-    // thousand times a pass, ten passes a second, on hosts with a quarter of a core.
+    // Guards against a lookup of the rate for each pair of adapter and engine. With a large fleet
+    // that was a hundred thousand lookups per pass, ten passes per second, on hosts with a quarter
+    // of a core.
     @Test
-    void shouldReadEachRateAFewTimesHoweverManyEnginesThereAre() {
+    void shouldLookUpEachRateAFewTimesRegardlessOfTheNumberOfEngines() {
         IntStream.range(0, 40).forEach(index -> engine("engine" + index, "busy", "calm"));
         adapters =
                 IntStream.range(0, 100)
@@ -208,8 +210,8 @@
 
         next();
 
-        int onceForEachAdapter = adapters.size();
-        int twiceForEachHeldAndOnceForEachEngine = engines.size() * (2 * PLACES + 1);
-        assertThat(ratesRead).isAtMost(onceForEachAdapter + twiceForEachHeldAndOnceForEachEngine);
+        int lookupsForAdapters = adapters.size();
+        int lookupsForHeldAdaptersAndEngines = engines.size() * (2 * ADAPTER_SLOTS + 1);
+        assertThat(rateLookups).isAtMost(lookupsForAdapters + lookupsForHeldAdaptersAndEngines);
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/copies/EngineLoadsTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/EngineLoadsTest.java
@@ -2,27 +2,31 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import java.util.List;
-import java.util.Map;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
+
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** The load pattern: two models take most requests, others a few each, on a handful of engines. */
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+
+/**
+ * Covers two models with most of the requests and others with a few each, on a handful of engines.
+ */
 class EngineLoadsTest {
     private static final ModelId HOT = ModelId.of("hot");
     private static final ModelId RARE = ModelId.of("rare");
     private static final TargetIncarnation ONE = engine("one");
     private static final TargetIncarnation TWO = engine("two");
     private static final TargetIncarnation IDLE = engine("idle");
-    private static final double NEAR = 1e-6;
+    private static final double TOLERANCE = 1e-6;
     private static final double BUSY_RATE = 12;
 
     private static TargetIncarnation engine(String name) {
@@ -30,15 +34,15 @@
     }
 
     @Test
-    void shouldSendRequestsToTheEngineWithLessOtherWork() {
+    void shouldSendMoreRequestsToTheEngineWithLessOtherLoad() {
         EngineLoads loads =
                 EngineLoads.of(
                         Map.of(HOT, List.of(ONE, TWO), RARE, List.of(ONE)),
                         Map.of(HOT, 10.0, RARE, 4.0),
                         BUSY_RATE);
 
-        assertThat(loads.share(HOT, ONE)).isWithin(NEAR).of(3);
-        assertThat(loads.share(HOT, TWO)).isWithin(NEAR).of(7);
+        assertThat(loads.share(HOT, ONE)).isWithin(TOLERANCE).of(3);
+        assertThat(loads.share(HOT, TWO)).isWithin(TOLERANCE).of(7);
     }
 
     @Test
@@ -54,30 +58,30 @@
     }
 
     @Test
-    void shouldLoseNothingWithoutACopyThatNobodyUses() {
+    void shouldLoseNothingWithoutAnUnusedReplica() {
         EngineLoads loads = EngineLoads.of(Map.of(HOT, List.of(ONE, TWO)), Map.of(), BUSY_RATE);
 
-        assertThat(loads.loss(HOT, ONE)).isWithin(NEAR).of(0);
+        assertThat(loads.loss(HOT, ONE)).isWithin(TOLERANCE).of(0);
     }
 
     @Property(tries = 200, seed = "23")
-    void shouldGainWithACopyWhatIsLostWithoutIt(
-            @ForAll @IntRange(min = 1, max = 6) int copies,
+    void shouldGainWithAReplicaWhatIsLostWithoutIt(
+            @ForAll @IntRange(min = 1, max = 6) int replicas,
             @ForAll @DoubleRange(min = 0.1, max = 100) double rate) {
         List<TargetIncarnation> engines =
-                IntStream.range(0, copies)
+                IntStream.range(0, replicas)
                         .mapToObj(number -> engine("engine" + number))
                         .collect(Collectors.toList());
         List<TargetIncarnation> more =
-                IntStream.rangeClosed(0, copies)
+                IntStream.rangeClosed(0, replicas)
                         .mapToObj(number -> engine("engine" + number))
                         .collect(Collectors.toList());
         EngineLoads before = EngineLoads.of(Map.of(HOT, engines), Map.of(HOT, rate), BUSY_RATE);
         EngineLoads after = EngineLoads.of(Map.of(HOT, more), Map.of(HOT, rate), BUSY_RATE);
 
-        double gain = before.gain(HOT, rate, more.get(copies), 0);
-        assertThat(gain).isAtLeast(-NEAR);
-        assertThat(gain).isAtMost(before.late(HOT) + NEAR);
-        assertThat(after.loss(HOT, more.get(copies))).isWithin(NEAR).of(gain);
+        double gain = before.gain(HOT, rate, more.get(replicas), 0);
+        assertThat(gain).isAtLeast(-TOLERANCE);
+        assertThat(gain).isAtMost(before.lateRate(HOT) + TOLERANCE);
+        assertThat(after.loss(HOT, more.get(replicas))).isWithin(TOLERANCE).of(gain);
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/copies/CopyPlannerTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/ReplicaPlannerTest.java
@@ -2,15 +2,6 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import java.util.Arrays;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.stream.Collectors;
-import java.util.stream.Stream;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.fleet.HeldModel;
@@ -22,43 +13,53 @@
 import org.tamaracktrack.core.route.EngineSpecification;
 import org.tamaracktrack.core.route.ModelSpecification;
 
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+
 /**
- * The load pattern: few models get most requests, which ones changes within seconds, many are asked
- * for rarely; an engine holds three.
+ * Covers demand in which a few models receive most requests and these models change within seconds,
+ * while many others are rarely requested. An engine holds three models.
  */
-class CopyPlannerTest {
+class ReplicaPlannerTest {
     private static final long NOW = 100_000;
     private static final double MODEL_MEGABYTES = 70;
     private static final double ENGINE_MEGABYTES = 220;
 
-    private final Map<TargetIncarnation, EngineBook> engines = new LinkedHashMap<>();
+    private final Map<TargetIncarnation, EngineTracker> engines = new LinkedHashMap<>();
     private final Map<ModelId, Double> rates = new HashMap<>();
     private final Map<ModelId, Integer> waiting = new HashMap<>();
-    private final Map<ModelId, AskedBy> askedBy = new HashMap<>();
-    private boolean settled = true;
-    private boolean storeAllows = true;
-    private double busyRate = 12;
-    private int kindsRead;
-
-    private EngineBook engine(String name, List<String> atHand, String... models) {
-        EngineBook book = EngineBook.of(Targets.HOME);
+    private final Map<ModelId, DemandUrgency> demandUrgency = new HashMap<>();
+    private boolean demandSettled = true;
+    private boolean storeLoadAllowed = true;
+    private double saturationRate = 12;
+    private int urgencyLookups;
+
+    private EngineTracker engine(String name, List<String> locallyAvailable, String... models) {
+        EngineTracker tracker = EngineTracker.of(Targets.HOME);
         List<HeldModel> held =
                 Arrays.stream(models)
                         .map(model -> new HeldModel(ModelId.of(model), Set.of()))
                         .collect(Collectors.toList());
         Set<ModelId> onDisk =
-                Stream.concat(atHand.stream(), Arrays.stream(models))
+                Stream.concat(locallyAvailable.stream(), Arrays.stream(models))
                         .map(ModelId::of)
                         .collect(Collectors.toSet());
-        book.report(
+        tracker.applyReport(
                 new EngineReport(
                         0, false, 0, 0, TargetEntry.byModel(held), Set.of(), Set.of(), onDisk),
                 0);
-        engines.put(new TargetIncarnation(TargetId.of(name), 0), book);
-        return book;
+        engines.put(new TargetIncarnation(TargetId.of(name), 0), tracker);
+        return tracker;
     }
 
-    private Optional<CopyPlanner.Move> next() {
+    private Optional<ReplicaPlanner.Move> next() {
         Map<ModelId, ModelSpecification> models =
                 Stream.of("hot", "warm", "rare", "other", "silent", "new")
                         .map(ModelId::of)
@@ -74,20 +75,20 @@
                                                         1_700,
                                                         1,
                                                         List.of())));
-        return CopyPlanner.next(
-                new CopyPlanner.View(
+        return ReplicaPlanner.next(
+                new ReplicaPlanner.View(
                         new EngineSpecification(64, ENGINE_MEGABYTES, 8, 1.4, models),
                         engines,
                         rates,
                         rates,
                         waiting,
                         model -> {
-                            kindsRead++;
-                            return askedBy.getOrDefault(model, AskedBy.URGENT);
+                            urgencyLookups++;
+                            return demandUrgency.getOrDefault(model, DemandUrgency.URGENT);
                         },
-                        settled,
-                        storeAllows,
-                        busyRate,
+                        demandSettled,
+                        storeLoadAllowed,
+                        saturationRate,
                         NOW));
     }
 
@@ -99,14 +100,14 @@
     class Demand {
 
         @Test
-        void shouldAddACopyOfTheBusiestModelWhenAnEngineHasOneAtHand() {
+        void shouldAddAReplicaOfTheBusiestModelWhenAnEngineHasItLocally() {
             engine("one", List.of(), "hot", "warm", "other");
             engine("two", List.of("hot"), "silent", "rare", "warm");
             rate("hot", 15);
             rate("warm", 3);
             rate("rare", 0.2);
 
-            CopyPlanner.Move move = next().orElseThrow();
+            ReplicaPlanner.Move move = next().orElseThrow();
 
             assertThat(move.model()).isEqualTo(ModelId.of("hot"));
             assertThat(move.engine().target()).isEqualTo(TargetId.of("two"));
@@ -114,10 +115,10 @@
             assertThat(move.order().load()).isFalse();
         }
 
-        // Guards against demand that stays on few engines which run few requests at once, since
-        // engines are taken to be as quick as others.
+        // Guards against demand that stays on too few engines when engines run few requests at the
+        // same time. The planner assumed the same capacity for all engines.
         @Test
-        void shouldAddACopySoonerWhenEnginesCanServeLess() {
+        void shouldAddAReplicaSoonerWhenEngineCapacityIsLower() {
             engine("one", List.of(), "hot", "other", "silent");
             engine("two", List.of("hot"), "warm", "rare", "silent");
             engine("three", List.of(), "new", "warm", "rare");
@@ -126,18 +127,18 @@
             rate("rare", 0.5);
             rate("other", 0.1);
 
-            assertThat(next().map(CopyPlanner.Move::model))
+            assertThat(next().map(ReplicaPlanner.Move::model))
                     .isNotEqualTo(Optional.of(ModelId.of("hot")));
 
-            busyRate = 3;
-            assertThat(next().map(CopyPlanner.Move::model))
+            saturationRate = 3;
+            assertThat(next().map(ReplicaPlanner.Move::model))
                     .isEqualTo(Optional.of(ModelId.of("hot")));
         }
 
-        // Two models are asked for alike, one has a copy and one has none. The loads that can be
-        // under way at once must not all go to the first.
+        // Guards against spending all concurrent loads on a model that already has a replica while
+        // an equally requested one has none.
         @Test
-        void shouldBringUpTheModelWithoutACopyFirstWhenTwoAreEquallyBusy() {
+        void shouldLoadTheModelWithoutAReplicaFirstWhenTwoAreEquallyBusy() {
             engine("one", List.of(), "hot", "other", "silent");
             engine("two", List.of("hot", "warm"), "other", "silent");
             rate("hot", 25);
@@ -146,17 +147,17 @@
             assertThat(next().orElseThrow().model()).isEqualTo(ModelId.of("warm"));
         }
 
-        // The day begins. The busiest model was placed on several engines in advance, and in the
-        // first second hardly anybody has asked for it yet.
+        // Guards against unloading replicas that were placed in advance when, in the first second
+        // of demand, the busiest model has received hardly any request.
         @Test
-        void shouldKeepCopiesPlacedInAdvanceWhenDemandHasJustBegun() {
+        void shouldKeepReplicasPlacedInAdvanceWhenDemandHasJustBegun() {
             engine("one", List.of("rare"), "hot", "other", "silent");
             engine("two", List.of("rare"), "hot", "warm", "new");
             rate("hot", 0.1);
             waiting.put(ModelId.of("rare"), 1);
-            settled = false;
+            demandSettled = false;
 
-            assertThat(next().flatMap(CopyPlanner.Move::victim))
+            assertThat(next().flatMap(ReplicaPlanner.Move::victim))
                     .isNotEqualTo(Optional.of(ModelId.of("hot")));
         }
 
@@ -171,39 +172,41 @@
             assertThat(next()).isEmpty();
         }
 
-        // Room is made on one engine. Planned anew before it is there, every engine would make
-        // room for the same model and all others would be gone.
+        // Guards against every engine unloading models for the same load. Planning again before
+        // the load began did not count it, and all other models were unloaded.
         @Test
-        void shouldCountAModelAsComingWhenRoomIsMadeForIt() {
-            EngineBook one = engine("one", List.of("rare"), "hot", "other", "silent");
+        void shouldCountAModelAsIncomingWhenMemoryIsReservedForIt() {
+            EngineTracker one = engine("one", List.of("rare"), "hot", "other", "silent");
             engine("two", List.of("rare"), "hot", "other", "silent");
             waiting.put(ModelId.of("rare"), 1);
-            CopyPlanner.Move first = next().orElseThrow();
-            EngineBook chosen = engines.get(first.engine());
-            chosen.sending(first.order());
-            chosen.makingRoomFor(first.model());
+            ReplicaPlanner.Move first = next().orElseThrow();
+            EngineTracker chosen = engines.get(first.engine());
+            chosen.beginOrder(first.order());
+            chosen.reserveFor(first.model());
 
             assertThat(next().filter(move -> move.model().equals(ModelId.of("rare")))).isEmpty();
             assertThat(one).isNotNull();
         }
 
-        // One request waits for a model, and several engines have room for it. Orders on their way
-        // did not count, so all engines began to load it and were lost to other models.
+        // Guards against all engines loading a model that a single request waits for. Pending
+        // orders did not count, so each engine with free memory received one and was unavailable
+        // to other models.
         @Test
-        void shouldLoadAModelOnceWhenSeveralEnginesHaveRoomForIt() {
+        void shouldLoadAModelOnceWhenSeveralEnginesHaveMemoryForIt() {
             engine("one", List.of("rare"), "hot");
             engine("two", List.of("rare"), "hot");
             waiting.put(ModelId.of("rare"), 1);
-            CopyPlanner.Move first = next().orElseThrow();
-            engines.get(first.engine()).sending(first.order());
+            ReplicaPlanner.Move first = next().orElseThrow();
+            engines.get(first.engine()).beginOrder(first.order());
 
             assertThat(next().filter(move -> move.model().equals(ModelId.of("rare")))).isEmpty();
         }
 
-        // Two copies of a model that has fallen silent, and two others are waited for. In one pass
-        // each copy was given up because of the other, and the next request for it found none.
+        // Guards against unloading both replicas of a model in one pass, each because the other
+        // exists, when requests wait for two other models. The next request for the model then
+        // found no replica.
         @Test
-        void shouldKeepOneCopyWhenTwoCouldGoInOnePass() {
+        void shouldKeepOneReplicaWhenTwoCouldBeUnloadedInOnePass() {
             engine("one", List.of("rare"), "silent", "hot", "warm");
             engine("two", List.of("other"), "silent", "hot", "warm");
             rate("hot", 20);
@@ -211,23 +214,23 @@
             rate("silent", 3);
             waiting.put(ModelId.of("rare"), 1);
             waiting.put(ModelId.of("other"), 1);
-            CopyPlanner.Move first = next().orElseThrow();
+            ReplicaPlanner.Move first = next().orElseThrow();
             assertThat(first.victim()).isEqualTo(Optional.of(ModelId.of("silent")));
-            EngineBook book = engines.get(first.engine());
-            book.sending(first.order());
-            book.makingRoomFor(first.model());
+            EngineTracker tracker = engines.get(first.engine());
+            tracker.beginOrder(first.order());
+            tracker.reserveFor(first.model());
 
-            assertThat(next().flatMap(CopyPlanner.Move::victim))
+            assertThat(next().flatMap(ReplicaPlanner.Move::victim))
                     .isNotEqualTo(Optional.of(ModelId.of("silent")));
         }
 
-        // Requests that can wait ask for one rare model after the other. They must displace each
-        // other, not the models to which demand moves next.
+        // Guards against displacing the models to which demand moves next, when requests that can
+        // wait use one rare model after another. These models have to displace each other.
         @Test
-        void shouldDisplaceAPatientModelBeforeOneThatWasNeverAskedFor() {
+        void shouldDisplaceAModelOfPatientRequestsBeforeOneThatWasNeverRequested() {
             engine("one", List.of("rare"), "new", "other", "hot");
-            askedBy.put(ModelId.of("new"), AskedBy.NOBODY);
-            askedBy.put(ModelId.of("other"), AskedBy.PATIENT);
+            demandUrgency.put(ModelId.of("new"), DemandUrgency.NONE);
+            demandUrgency.put(ModelId.of("other"), DemandUrgency.PATIENT);
             waiting.put(ModelId.of("rare"), 1);
             rate("hot", 2);
 
@@ -235,22 +238,22 @@
         }
 
         @Test
-        void shouldBringUpAModelThatNoEngineHasAtHandWhenItIsCalm() {
+        void shouldLoadAModelThatNoEngineHasLocallyWhenDemandIsLow() {
             engine("one", List.of("hot", "warm", "rare", "other", "new"), "hot", "warm");
-            askedBy.put(ModelId.of("silent"), AskedBy.NOBODY);
+            demandUrgency.put(ModelId.of("silent"), DemandUrgency.NONE);
 
             assertThat(next().orElseThrow().model()).isEqualTo(ModelId.of("silent"));
         }
     }
 
     @Nested
-    class Spread {
+    class EngineSelection {
 
-        // One engine is busy with the only copy of the busiest model; another holds rarely asked
-        // models, each the only copy, and hardly works. Callers of the busy model are refused.
-        // The rare one goes where there is room first, and is never without a copy.
+        // Guards against refused requests for a busy model while another engine is nearly idle
+        // because it holds the only replicas of rarely requested models. One of these has to move
+        // to an engine with free memory first, so that it always has a replica.
         @Test
-        void shouldBringAnOnlyCopyElsewhereBeforeItsPlaceIsTaken() {
+        void shouldRelocateAnOnlyReplicaBeforeItIsUnloaded() {
             engine("busy", List.of(), "hot", "warm", "other");
             engine("idle", List.of("hot"), "rare", "silent", "new");
             engine("spacious", List.of("rare", "silent", "new"), "hot", "other");
@@ -259,16 +262,16 @@
             rate("silent", 1);
             rate("new", 1);
 
-            CopyPlanner.Move move = next().orElseThrow();
+            ReplicaPlanner.Move move = next().orElseThrow();
 
             assertThat(move.victim()).isEmpty();
             assertThat(move.engine().target()).isEqualTo(TargetId.of("spacious"));
         }
 
-        // The weight store is to be spared, and the engine with room has no copy of the rare model
-        // at hand. Brought there all the same, the load would exceed what the store allows.
+        // Guards against a relocation that exceeds the weight store's rate: no store load is
+        // allowed, and the engine with free memory does not have the rare model locally.
         @Test
-        void shouldNotBringAnOnlyCopyElsewhereWhenTheWeightStoreIsToBeSpared() {
+        void shouldNotRelocateAnOnlyReplicaWhenNoStoreLoadIsAllowed() {
             engine("busy", List.of(), "hot", "warm", "other");
             engine("idle", List.of("hot"), "rare", "silent", "new");
             engine("spacious", List.of(), "hot", "other");
@@ -276,9 +279,9 @@
             rate("rare", 1);
             rate("silent", 1);
             rate("new", 1);
-            storeAllows = false;
+            storeLoadAllowed = false;
 
-            Optional<CopyPlanner.Move> move = next();
+            Optional<ReplicaPlanner.Move> move = next();
 
             assertThat(
                             move.filter(
@@ -289,10 +292,10 @@
                     .isEmpty();
         }
 
-        // Two models are equally busy; one engine has none of them, one has both. The further copy
-        // goes to the engine with the least to do, though both have room.
+        // Guards against placing a further replica on a loaded engine. Of two equally busy models
+        // one engine holds both and another holds none, and both engines have memory.
         @Test
-        void shouldPlaceAFurtherCopyWhereTheLeastWorkIs() {
+        void shouldPlaceAFurtherReplicaOnTheLeastLoadedEngine() {
             engine("one", List.of(), "hot", "warm", "other");
             engine("two", List.of("hot"), "warm", "other");
             engine("three", List.of("hot"), "other", "silent");
@@ -306,26 +309,28 @@
     @Nested
     class Memory {
 
-        // The configuration drops a model that an engine still holds. Counted as nothing, the
-        // engine would be ordered to hold more than it can, and crash.
+        // Guards against ordering an engine to hold more than fits, which makes it crash. It still
+        // holds a model that the configuration no longer contains, whose memory was counted as
+        // zero.
         @Test
-        void shouldNotLoadBesideAModelThatIsNotConfigured() {
+        void shouldNotLoadNextToAModelThatIsNotConfigured() {
             engine("one", List.of("hot"), "dropped");
             rate("hot", 15);
 
-            Optional<CopyPlanner.Move> move = next();
+            Optional<ReplicaPlanner.Move> move = next();
 
             assertThat(move.filter(chosen -> chosen.victim().isEmpty())).isEmpty();
         }
     }
 
     @Nested
-    class Size {
+    class Cost {
 
-        // Worked out for each pair of engine and model, what a copy is missed by took most of a
-        // pass: 14 ms for 36 engines, ten times a second, on hosts with a quarter of a core.
+        // Guards against computing the loss of a replica for each pair of engine and model. This
+        // took most of a pass: 14 ms for 36 engines, ten times per second, on hosts with a quarter
+        // of a core.
         @Test
-        void shouldWeighEachHeldCopyOnceHoweverManyModelsAreWanted() {
+        void shouldValueEachHeldReplicaOnceRegardlessOfTheNumberOfRequestedModels() {
             int count = 40;
             for (int index = 0; index < count; index++) {
                 engine("engine" + index, List.of(), "hot", "warm", "other");
@@ -336,48 +341,50 @@
 
             next();
 
-            int eachModelOnce = 6;
-            assertThat(kindsRead).isAtMost(eachModelOnce + 3 * count);
+            int lookupsForModels = 6;
+            assertThat(urgencyLookups).isAtMost(lookupsForModels + 3 * count);
         }
     }
 
-    /** Demand moves to other models while many others are asked for rarely, by who can wait. */
+    /**
+     * Covers demand that moves to other models while many others are rarely requested, by requests
+     * that can wait.
+     */
     @Nested
     class PatientRequests {
 
-        private void loading(String name, String model) {
-            EngineBook book = engine(name, List.of());
-            book.sending(
-                    new EngineOrder(
+        private void addLoadingEngine(String name, String model) {
+            EngineTracker tracker = engine(name, List.of());
+            tracker.beginOrder(
+                    new PlacementOrder(
                             new TargetIncarnation(TargetId.of(name), 0),
                             true,
                             ModelId.of(model),
                             Optional.empty()));
-            book.accepted(NOW - 1_000);
+            tracker.orderAccepted(NOW - 1_000);
         }
 
-        private void waitsPatiently(String model) {
+        private void addPatientRequests(String model) {
             waiting.put(ModelId.of(model), 3);
-            askedBy.put(ModelId.of(model), AskedBy.PATIENT);
+            demandUrgency.put(ModelId.of(model), DemandUrgency.PATIENT);
             rate(model, 0.3);
         }
 
-        // Guards against engines that are all loading rarely asked models for seconds, while a
-        // model
-        // that many urgent requests ask for stays on a few.
+        // Guards against engines that all load rarely requested models for seconds, while a model
+        // with many urgent requests stays on a few engines.
         @Test
-        void shouldLeaveEnginesToUrgentRequestsWhenEnoughLoadForPatientOnes() {
-            loading("loading", "other");
-            askedBy.put(ModelId.of("other"), AskedBy.PATIENT);
+        void shouldReserveEnginesForUrgentRequestsWhenEnoughLoadForPatientOnes() {
+            addLoadingEngine("loading", "other");
+            demandUrgency.put(ModelId.of("other"), DemandUrgency.PATIENT);
             engine("idle", List.of());
             engine("third", List.of(), "hot");
-            waitsPatiently("rare");
+            addPatientRequests("rare");
 
-            assertThat(next().map(CopyPlanner.Move::model))
+            assertThat(next().map(ReplicaPlanner.Move::model))
                     .isNotEqualTo(Optional.of(ModelId.of("rare")));
 
             rate("hot", 40);
-            assertThat(next().map(CopyPlanner.Move::model))
+            assertThat(next().map(ReplicaPlanner.Move::model))
                     .isEqualTo(Optional.of(ModelId.of("hot")));
         }
 
@@ -385,21 +392,21 @@
         void shouldLoadForPatientRequestsWhenNoOtherEngineDoes() {
             engine("idle", List.of());
             engine("third", List.of(), "hot");
-            waitsPatiently("rare");
+            addPatientRequests("rare");
 
-            assertThat(next().map(CopyPlanner.Move::model))
+            assertThat(next().map(ReplicaPlanner.Move::model))
                     .isEqualTo(Optional.of(ModelId.of("rare")));
         }
 
-        // A load from disk is over within two seconds.
+        // A load from disk takes less than two seconds, so it does not count against the limit.
         @Test
-        void shouldLoadForPatientRequestsWhenACopyIsAtHand() {
-            loading("loading", "other");
-            askedBy.put(ModelId.of("other"), AskedBy.PATIENT);
+        void shouldLoadForPatientRequestsWhenTheModelIsLocallyAvailable() {
+            addLoadingEngine("loading", "other");
+            demandUrgency.put(ModelId.of("other"), DemandUrgency.PATIENT);
             engine("idle", List.of("rare"));
-            waitsPatiently("rare");
+            addPatientRequests("rare");
 
-            assertThat(next().map(CopyPlanner.Move::model))
+            assertThat(next().map(ReplicaPlanner.Move::model))
                     .isEqualTo(Optional.of(ModelId.of("rare")));
         }
     }
--- a/core/src/test/java/org/tamaracktrack/core/copies/UnansweredOrdersTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/UnansweredOrdersTest.java
@@ -11,18 +11,18 @@
     private final UnansweredOrders unanswered = UnansweredOrders.none();
 
     @Test
-    void shouldTrustOrdersUntilOneIsNotAnswered() {
-        assertThat(unanswered.recent(NOW)).isFalse();
+    void shouldReportAnUnansweredOrderOnceOneIsRecorded() {
+        assertThat(unanswered.anyRecent(NOW)).isFalse();
 
-        unanswered.note(NOW);
+        unanswered.recordUnanswered(NOW);
 
-        assertThat(unanswered.recent(NOW)).isTrue();
+        assertThat(unanswered.anyRecent(NOW)).isTrue();
     }
 
     @Test
-    void shouldTrustOrdersAgainWhenAllAreAnswered() {
-        unanswered.note(NOW);
+    void shouldReportNoUnansweredOrderAfterTheWindowHasPassed() {
+        unanswered.recordUnanswered(NOW);
 
-        assertThat(unanswered.recent(NOW + LONG_MILLIS)).isFalse();
+        assertThat(unanswered.anyRecent(NOW + LONG_MILLIS)).isFalse();
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
@@ -1,10 +1,6 @@
 package org.tamaracktrack.daemon.copies;
 
-import java.util.Objects;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
-import org.tamaracktrack.core.copies.DemandBook;
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.fleet.Fleet;
 import org.tamaracktrack.core.lease.ConditionalLease;
 import org.tamaracktrack.core.route.ServingConfiguration;
@@ -13,6 +9,11 @@
 import org.tamaracktrack.link.topic.TopicClient;
 import org.tamaracktrack.link.topic.TopicPart;
 
+import java.util.Objects;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+
 /** The duty of placing copies, which one daemon has at a time. */
 public final class CopyDuty {
     private final LeaseDriver lease;
@@ -57,7 +58,7 @@
             RecordRelay relay,
             EngineOrders orders,
             ControlThread control,
-            Supplier<CompletableFuture<DemandBook.Seen>> meter,
+            Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter,
             Consumer<Fleet> changed) {
         Objects.requireNonNull(member, "member is null");
         ConditionalLease.Terms terms =
@@ -70,7 +71,7 @@
                         ConditionalLease.of(
                                 member.process(), relay.address(), relay::contact, terms),
                         relay);
-        DemandBook demand = DemandBook.empty();
+        DemandTracker demand = DemandTracker.empty();
         DemandExchange.start(
                 member.process(),
                 topics,
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
@@ -1,5 +1,14 @@
 package org.tamaracktrack.daemon.copies;
 
+import org.tamaracktrack.core.copies.DemandTracker;
+import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.daemon.relay.RecordRelay;
+import org.tamaracktrack.daemon.runtime.ControlThread;
+import org.tamaracktrack.link.topic.RecordBatch;
+import org.tamaracktrack.link.topic.TopicAnswer;
+import org.tamaracktrack.link.topic.TopicClient;
+import org.tamaracktrack.link.topic.TopicPart;
+
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -8,14 +17,6 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.tamaracktrack.core.copies.DemandBook;
-import org.tamaracktrack.core.fleet.ModelNeed;
-import org.tamaracktrack.daemon.relay.RecordRelay;
-import org.tamaracktrack.daemon.runtime.ControlThread;
-import org.tamaracktrack.link.topic.RecordBatch;
-import org.tamaracktrack.link.topic.TopicAnswer;
-import org.tamaracktrack.link.topic.TopicClient;
-import org.tamaracktrack.link.topic.TopicPart;
 
 /**
  * Brings what each daemon sees of demand to the one that gives orders: the others tell it, or
@@ -48,8 +49,8 @@
     private final ControlThread control;
     private final LeaseDriver lease;
     private final RecordRelay relay;
-    private final DemandBook book;
-    private final Supplier<CompletableFuture<DemandBook.Seen>> meter;
+    private final DemandTracker book;
+    private final Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter;
     private final Map<ModelNeed, Integer> urgent = new HashMap<>();
     private final Map<ModelNeed, Integer> patient = new HashMap<>();
     private Set<ModelNeed> waitingWritten = Set.of();
@@ -66,8 +67,8 @@
             ControlThread control,
             LeaseDriver lease,
             RecordRelay relay,
-            DemandBook book,
-            Supplier<CompletableFuture<DemandBook.Seen>> meter) {
+            DemandTracker book,
+            Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter) {
         this.process = process;
         this.topics = topics;
         this.part = part;
@@ -85,8 +86,8 @@
             ControlThread control,
             LeaseDriver lease,
             RecordRelay relay,
-            DemandBook book,
-            Supplier<CompletableFuture<DemandBook.Seen>> meter) {
+            DemandTracker book,
+            Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter) {
         Objects.requireNonNull(meter, "meter is null");
         DemandExchange exchange =
                 new DemandExchange(process, topics, part, control, lease, relay, book, meter);
@@ -110,7 +111,7 @@
         }
     }
 
-    private void metered(DemandBook.Seen seen) {
+    private void metered(DemandTracker.DemandCounts seen) {
         long nowMillis = ControlThread.nowMillis();
         if (lease.holds()) {
             urgent.clear();
@@ -127,14 +128,14 @@
         if (newlyWaiting || something && nowMillis - writtenAtMillis >= every) {
             writtenAtMillis = nowMillis;
             waitingWritten = seen.waiting().keySet();
-            write(new DemandBook.Seen(urgent, patient, seen.waiting()));
+            write(new DemandTracker.DemandCounts(urgent, patient, seen.waiting()));
             urgent.clear();
             patient.clear();
         }
     }
 
     private void writeDownAsked(long nowMillis) {
-        DemandBook.Seen asked = book.everAsked();
+        DemandTracker.DemandCounts asked = book.everRequested();
         boolean nothing = asked.urgent().isEmpty() && asked.patient().isEmpty();
         if (nothing || nowMillis - rememberedAtMillis < REMEMBER_EVERY_MILLIS) {
             return;
@@ -149,7 +150,7 @@
 
     // A record that is lost is not sent again: the next one says what waits now, and the averages
     // come right within seconds.
-    private void write(DemandBook.Seen seen) {
+    private void write(DemandTracker.DemandCounts seen) {
         byte[] record = DutyRecords.encode(new DutyRecords.DemandRecord(process, seen));
         if (!relay.tell(part, record)) {
             append(record);
@@ -194,7 +195,7 @@
             // were ever asked for.
             batch.records().stream()
                     .flatMap(record -> DutyRecords.demand(record).stream())
-                    .forEach(record -> book.recall(record.seen(), ControlThread.nowMillis()));
+                    .forEach(record -> book.restore(record.seen(), ControlThread.nowMillis()));
             skipHistory = false;
             next = batch.end();
             read();
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
@@ -1,12 +1,8 @@
 package org.tamaracktrack.daemon.copies;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.stream.Collectors;
-import org.tamaracktrack.core.copies.DemandBook;
+
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.ModelNeed;
@@ -18,6 +14,12 @@
 import org.tamaracktrack.core.lease.ConditionalLease.LeaseRecord;
 import org.tamaracktrack.link.codec.Trees;
 
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.stream.Collectors;
+
 /** The records of the duty's topic. */
 final class DutyRecords {
     private DutyRecords() {}
@@ -28,7 +30,7 @@
      * @param process the daemon
      * @param seen what it saw
      */
-    record DemandRecord(String process, DemandBook.Seen seen) {}
+    record DemandRecord(String process, DemandTracker.DemandCounts seen) {}
 
     /**
      * What an engine holds.
@@ -163,8 +165,8 @@
                                         .map(process -> new DemandRecord(process, seen(tree))));
     }
 
-    private static DemandBook.Seen seen(JsonNode tree) {
-        return new DemandBook.Seen(
+    private static DemandTracker.DemandCounts seen(JsonNode tree) {
+        return new DemandTracker.DemandCounts(
                 needs(tree.path("urgent")),
                 needs(tree.path("patient")),
                 needs(tree.path("waiting")));
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/EngineOrders.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/EngineOrders.java
@@ -1,11 +1,12 @@
 package org.tamaracktrack.daemon.copies;
 
+import org.tamaracktrack.core.copies.EngineReport;
+import org.tamaracktrack.core.copies.PlacementOrder;
+import org.tamaracktrack.core.fleet.TargetEntry;
+
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
-import org.tamaracktrack.core.copies.EngineOrder;
-import org.tamaracktrack.core.copies.EngineReport;
-import org.tamaracktrack.core.fleet.TargetEntry;
 
 /** Calls to engines about what they hold. Each is sent once. */
 public interface EngineOrders {
@@ -42,7 +43,7 @@
      * @return what became of it; never fails
      */
     CompletableFuture<Outcome> send(
-            TargetEntry target, EngineOrder order, Authority authority, BooleanSupplier maySend);
+            TargetEntry target, PlacementOrder order, Authority authority, BooleanSupplier maySend);
 
     /**
      * Asks an engine what it holds.
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/OrderGiver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/OrderGiver.java
@@ -1,23 +1,15 @@
 package org.tamaracktrack.daemon.copies;
 
-import java.util.EnumMap;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.Objects;
-import java.util.Optional;
-import java.util.Set;
-import java.util.function.Function;
-import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.copies.AdapterPlanner;
-import org.tamaracktrack.core.copies.CopyPlanner;
-import org.tamaracktrack.core.copies.DemandBook;
-import org.tamaracktrack.core.copies.EngineBook;
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.copies.EngineCapacity;
-import org.tamaracktrack.core.copies.EngineOrder;
 import org.tamaracktrack.core.copies.EngineReport;
 import org.tamaracktrack.core.copies.EngineState;
-import org.tamaracktrack.core.copies.StorePace;
+import org.tamaracktrack.core.copies.EngineTracker;
+import org.tamaracktrack.core.copies.PlacementOrder;
+import org.tamaracktrack.core.copies.ReplicaPlanner;
+import org.tamaracktrack.core.copies.StoreLoadLimiter;
 import org.tamaracktrack.core.copies.UnansweredOrders;
 import org.tamaracktrack.core.fleet.Fleet;
 import org.tamaracktrack.core.fleet.HeldModel;
@@ -31,6 +23,15 @@
 import org.tamaracktrack.core.route.ServingConfiguration;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+
 /** Gives orders to the engines while this daemon has the lease. On the control thread. */
 final class OrderGiver {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.orders");
@@ -55,13 +56,13 @@
     private final EngineOrders orders;
     private final LeaseDriver lease;
     private final ControlThread control;
-    private final DemandBook demand;
+    private final DemandTracker demand;
     private final HoldingsExchange holdings;
     private final long pauseMillis;
-    private final StorePace pace = StorePace.empty();
+    private final StoreLoadLimiter pace = StoreLoadLimiter.empty();
     private final UnansweredOrders unanswered = UnansweredOrders.none();
     private final Map<ServiceId, EngineCapacity> capacities = new HashMap<>();
-    private final Map<TargetIncarnation, EngineBook> books = new HashMap<>();
+    private final Map<TargetIncarnation, EngineTracker> books = new HashMap<>();
     private final Map<TargetIncarnation, Long> askedAtMillis = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private Fleet fleet = Fleet.empty();
@@ -74,7 +75,7 @@
             EngineOrders orders,
             LeaseDriver lease,
             ControlThread control,
-            DemandBook demand,
+            DemandTracker demand,
             HoldingsExchange holdings,
             long pauseMillis) {
         this.orders = orders;
@@ -89,7 +90,7 @@
             EngineOrders orders,
             LeaseDriver lease,
             ControlThread control,
-            DemandBook demand,
+            DemandTracker demand,
             HoldingsExchange holdings,
             long pauseMillis) {
         Objects.requireNonNull(orders, "orders is null");
@@ -125,7 +126,7 @@
             }
             LOG.info("event=order-duty-begins term=" + lastTerm);
         }
-        demand.fade(ControlThread.nowMillis());
+        demand.decay(ControlThread.nowMillis());
         Asked asked = Asked.of(demand);
         configuration.stream()
                 .flatMap(inForce -> inForce.services().values().stream())
@@ -143,7 +144,7 @@
                 books.values().stream()
                         .collect(
                                 Collectors.groupingBy(
-                                        EngineBook::state,
+                                        EngineTracker::state,
                                         () -> new EnumMap<>(EngineState.class),
                                         Collectors.counting()));
         if (!counts.equals(loggedStates)) {
@@ -158,7 +159,7 @@
         Map<TargetIncarnation, Map<ModelId, HeldModel>> sure = new HashMap<>();
         books.forEach(
                 (engine, book) ->
-                        book.sureToHold(nowMillis).ifPresent(held -> sure.put(engine, held)));
+                        book.confirmedModels(nowMillis).ifPresent(held -> sure.put(engine, held)));
         return sure;
     }
 
@@ -168,7 +169,7 @@
                 .flatMap(service -> service.engine().stream())
                 .forEach(
                         engine ->
-                                pace.follow(
+                                pace.assumeFullWindow(
                                         engine.loadsPerSecond(),
                                         ControlThread.nowMillis() - pauseMillis));
     }
@@ -181,12 +182,12 @@
             Map<ModelNeed, Integer> waiting,
             Map<ModelId, Integer> waitingByModel) {
 
-        static Asked of(DemandBook demand) {
+        static Asked of(DemandTracker demand) {
             Map<ModelNeed, Integer> waiting = demand.waiting();
             return new Asked(
-                    demand.quick(),
-                    demand.slow(),
-                    demand.expected(),
+                    demand.shortTermDemand(),
+                    demand.longTermDemand(),
+                    demand.expectedDemand(),
                     waiting,
                     waiting.entrySet().stream()
                             .collect(
@@ -210,13 +211,13 @@
                 fleet.ready(service)
                         .collect(Collectors.toMap(TargetEntry::incarnation, Function.identity()));
         entries.values().forEach(this::askForReport);
-        Map<TargetIncarnation, EngineBook> engines =
+        Map<TargetIncarnation, EngineTracker> engines =
                 entries.keySet().stream()
-                        .filter(name -> books.get(name).known())
+                        .filter(name -> books.get(name).hasReport())
                         .collect(Collectors.toMap(Function.identity(), books::get));
         capacity(service)
-                .note(
-                        engines.values().stream().mapToInt(EngineBook::running).sum(),
+                .update(
+                        engines.values().stream().mapToInt(EngineTracker::running).sum(),
                         asked.perSecond(),
                         ControlThread.nowMillis());
         for (int count = 0; count < MOST_ORDERS; count++) {
@@ -230,21 +231,21 @@
             ServiceId service,
             Map<TargetIncarnation, TargetEntry> entries,
             EngineSpecification engine,
-            Map<TargetIncarnation, EngineBook> engines,
+            Map<TargetIncarnation, EngineTracker> engines,
             Asked asked,
             LeaseDriver.Permit permit) {
         Optional<AdapterPlanner.Move> adapter =
                 AdapterPlanner.next(adapterView(engine, engines, asked));
-        if (adapter.filter(AdapterPlanner.Move::pressing).isPresent()) {
+        if (adapter.filter(AdapterPlanner.Move::isUrgent).isPresent()) {
             give(entries, adapter.get().order(), asked, permit);
             return true;
         }
-        Optional<CopyPlanner.Move> copy =
+        Optional<ReplicaPlanner.Move> copy =
                 nextCopy(service, copyView(service, engine, engines, asked));
         if (copy.isPresent()) {
             give(entries, copy.get().order(), asked, permit);
             copy.filter(chosen -> chosen.victim().isPresent())
-                    .ifPresent(chosen -> books.get(chosen.engine()).makingRoomFor(chosen.model()));
+                    .ifPresent(chosen -> books.get(chosen.engine()).reserveFor(chosen.model()));
             return true;
         }
         adapter.ifPresent(move -> give(entries, move.order(), asked, permit));
@@ -255,12 +256,12 @@
         return capacities.computeIfAbsent(service, name -> EngineCapacity.unknown());
     }
 
-    private Optional<CopyPlanner.Move> nextCopy(ServiceId service, CopyPlanner.View view) {
+    private Optional<ReplicaPlanner.Move> nextCopy(ServiceId service, ReplicaPlanner.View view) {
         long restsUntilMillis = planAgainMillis.getOrDefault(service, Long.MIN_VALUE);
         if (view.waiting().isEmpty() && view.nowMillis() < restsUntilMillis) {
-            return CopyPlanner.begun(view);
+            return ReplicaPlanner.startedMove(view);
         }
-        Optional<CopyPlanner.Move> move = CopyPlanner.next(view);
+        Optional<ReplicaPlanner.Move> move = ReplicaPlanner.next(view);
         if (move.isEmpty()) {
             long endMillis = ControlThread.nowMillis();
             long tookMillis = endMillis - view.nowMillis();
@@ -269,43 +270,45 @@
         return move;
     }
 
-    private CopyPlanner.View copyView(
+    private ReplicaPlanner.View copyView(
             ServiceId service,
             EngineSpecification engine,
-            Map<TargetIncarnation, EngineBook> engines,
+            Map<TargetIncarnation, EngineTracker> engines,
             Asked asked) {
-        return new CopyPlanner.View(
+        return new ReplicaPlanner.View(
                 engine,
                 engines,
                 asked.quick(),
                 asked.expected(),
                 asked.waitingByModel(),
-                demand::askedBy,
+                demand::demandUrgency,
                 demand.settled(ControlThread.nowMillis()),
                 pace.allows(engine.loadsPerSecond(), ControlThread.nowMillis()),
-                capacity(service).busyRate(engine.slots()),
+                capacity(service).saturationRate(engine.slots()),
                 ControlThread.nowMillis());
     }
 
     private AdapterPlanner.View adapterView(
-            EngineSpecification engine, Map<TargetIncarnation, EngineBook> engines, Asked asked) {
+            EngineSpecification engine,
+            Map<TargetIncarnation, EngineTracker> engines,
+            Asked asked) {
         return new AdapterPlanner.View(
                 engine,
                 engines,
                 asked.slow().keySet(),
-                demand::slow,
+                demand::longTermDemand,
                 asked.waiting(),
-                unanswered.recent(ControlThread.nowMillis()),
+                unanswered.anyRecent(ControlThread.nowMillis()),
                 ControlThread.nowMillis());
     }
 
     private void askForReport(TargetEntry entry) {
         long nowMillis = ControlThread.nowMillis();
-        EngineBook book =
+        EngineTracker book =
                 books.computeIfAbsent(
-                        entry.incarnation(), name -> EngineBook.of(entry.dataCentre()));
+                        entry.incarnation(), name -> EngineTracker.of(entry.dataCentre()));
         long asked = askedAtMillis.getOrDefault(entry.incarnation(), Long.MIN_VALUE / 2);
-        if (!book.wantsReport(nowMillis) || nowMillis - asked < REPORT_EVERY_MILLIS) {
+        if (!book.needsReport(nowMillis) || nowMillis - asked < REPORT_EVERY_MILLIS) {
             return;
         }
         askedAtMillis.put(entry.incarnation(), nowMillis);
@@ -314,26 +317,26 @@
     }
 
     private void reported(TargetEntry entry, Optional<EngineReport> report, long askedAt) {
-        EngineBook book = books.get(entry.incarnation());
+        EngineTracker book = books.get(entry.incarnation());
         if (book == null || report.isEmpty()) {
             return;
         }
-        book.report(report.get(), askedAt);
+        book.applyReport(report.get(), askedAt);
     }
 
     private void give(
             Map<TargetIncarnation, TargetEntry> entries,
-            EngineOrder order,
+            PlacementOrder order,
             Asked asked,
             LeaseDriver.Permit permit) {
         TargetEntry target = entries.get(order.engine());
-        EngineBook book = books.get(order.engine());
+        EngineTracker book = books.get(order.engine());
         long nowMillis = ControlThread.nowMillis();
         if (fromStore(book, order)) {
-            pace.begin(nowMillis);
+            pace.recordLoad(nowMillis);
         }
         EngineOrders.Authority authority =
-                new EngineOrders.Authority(permit.term(), book.sending(order));
+                new EngineOrders.Authority(permit.term(), book.beginOrder(order));
         LOG.info(
                 "event=order engine="
                         + order.engine()
@@ -354,32 +357,32 @@
                 .thenAccept(outcome -> control.post(() -> settled(order, outcome)));
     }
 
-    private static boolean fromStore(EngineBook book, EngineOrder order) {
+    private static boolean fromStore(EngineTracker book, PlacementOrder order) {
         return order.load()
-                && order.ofModel()
+                && order.isModelOrder()
                 && !book.inMemory(order.model())
                 && !book.onDisk(order.model());
     }
 
-    private void settled(EngineOrder order, EngineOrders.Outcome outcome) {
+    private void settled(PlacementOrder order, EngineOrders.Outcome outcome) {
         if (outcome != EngineOrders.Outcome.ACCEPTED) {
             LOG.info("event=order-not-taken engine=" + order.engine() + " outcome=" + outcome);
         }
         if (outcome == EngineOrders.Outcome.UNKNOWN) {
-            unanswered.note(ControlThread.nowMillis());
+            unanswered.recordUnanswered(ControlThread.nowMillis());
         }
-        EngineBook book = books.get(order.engine());
+        EngineTracker book = books.get(order.engine());
         if (book == null) {
             return;
         }
         if (outcome == EngineOrders.Outcome.ACCEPTED) {
-            book.accepted(ControlThread.nowMillis());
+            book.orderAccepted(ControlThread.nowMillis());
             // The engine may take the next one at once; adapters come in rows of eight.
             tick();
         } else if (outcome == EngineOrders.Outcome.NOT_TAKEN && book.busy() && order.load()) {
-            book.successorNotTaken(order.model(), ControlThread.nowMillis());
+            book.reservedLoadRefused(order.model(), ControlThread.nowMillis());
         } else {
-            book.unsettled();
+            book.orderOutcomeUnknown();
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/DemandMeter.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/DemandMeter.java
@@ -1,11 +1,12 @@
 package org.tamaracktrack.daemon.gateway;
 
-import java.util.HashMap;
-import java.util.Map;
-import org.tamaracktrack.core.copies.DemandBook;
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.fleet.ModelNeed;
 import org.tamaracktrack.core.route.Route;
 
+import java.util.HashMap;
+import java.util.Map;
+
 /** Counts what requests ask of models between two readings. Owned by the traffic thread. */
 final class DemandMeter {
     /** Requests with a later objective than this can wait for a copy to be loaded. */
@@ -24,8 +25,8 @@
         (route.objectiveMillis() > PATIENT_MILLIS ? patient : urgent).merge(need, 1, Integer::sum);
     }
 
-    DemandBook.Seen take(Map<ModelNeed, Integer> waiting) {
-        DemandBook.Seen seen = new DemandBook.Seen(urgent, patient, waiting);
+    DemandTracker.DemandCounts take(Map<ModelNeed, Integer> waiting) {
+        DemandTracker.DemandCounts seen = new DemandTracker.DemandCounts(urgent, patient, waiting);
         urgent = new HashMap<>();
         patient = new HashMap<>();
         return seen;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
@@ -8,17 +8,8 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 import io.undertow.util.StatusCodes;
-import java.net.InetSocketAddress;
-import java.util.List;
-import java.util.Objects;
-import java.util.OptionalLong;
-import java.util.Set;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
-import java.util.function.LongSupplier;
-import java.util.random.RandomGenerator;
-import org.tamaracktrack.core.copies.DemandBook;
+
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.dispatch.FleetRetryBudget;
 import org.tamaracktrack.core.dispatch.TargetChooser;
 import org.tamaracktrack.core.error.ErrorCode;
@@ -37,6 +28,17 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Objects;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import java.util.random.RandomGenerator;
+
 /** The server that callers reach, with the readiness that a balancer asks for. */
 public final class Gateway implements AutoCloseable {
     private static final int REQUEST_HEAD_MILLIS = 10_000;
@@ -263,8 +265,8 @@
      *
      * @return the demand, completed on the traffic thread
      */
-    public CompletableFuture<DemandBook.Seen> demand() {
-        CompletableFuture<DemandBook.Seen> reading = new CompletableFuture<>();
+    public CompletableFuture<DemandTracker.DemandCounts> demand() {
+        CompletableFuture<DemandTracker.DemandCounts> reading = new CompletableFuture<>();
         thread.execute(() -> reading.complete(services.demand().take(services.waiting().byNeed())));
         return reading;
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
@@ -2,15 +2,11 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import java.io.IOException;
-import java.util.Map;
-import java.util.Optional;
-import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.tamaracktrack.core.copies.AskedBy;
-import org.tamaracktrack.core.copies.DemandBook;
+import org.tamaracktrack.core.copies.DemandTracker;
+import org.tamaracktrack.core.copies.DemandUrgency;
 import org.tamaracktrack.core.fleet.ModelNeed;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.lease.ConditionalLease;
@@ -19,15 +15,20 @@
 import org.tamaracktrack.daemon.relay.RelayPair;
 import org.tamaracktrack.link.topic.TopicPart;
 
+import java.io.IOException;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+
 class DemandExchangeTest {
     private static final TopicPart LEASE = new TopicPart("duties", 0);
     private static final TopicPart DEMAND = new TopicPart("duties", 1);
     private static final ModelId MODEL = ModelId.of("model");
     private static final ModelNeed NEED = new ModelNeed(MODEL, Optional.empty());
-    private static final DemandBook.Seen NOTHING =
-            new DemandBook.Seen(Map.of(), Map.of(), Map.of());
-    private static final DemandBook.Seen ASKED =
-            new DemandBook.Seen(Map.of(NEED, 1), Map.of(), Map.of());
+    private static final DemandTracker.DemandCounts NOTHING =
+            new DemandTracker.DemandCounts(Map.of(), Map.of(), Map.of());
+    private static final DemandTracker.DemandCounts ASKED =
+            new DemandTracker.DemandCounts(Map.of(NEED, 1), Map.of(), Map.of());
 
     private RelayPair pair;
 
@@ -41,13 +42,13 @@
         pair.close();
     }
 
-    private DemandBook daemon(
+    private DemandTracker daemon(
             String name,
             RecordRelay relay,
             MemoryLog leases,
             MemoryLog demands,
-            DemandBook.Seen seen) {
-        DemandBook book = DemandBook.empty();
+            DemandTracker.DemandCounts seen) {
+        DemandTracker book = DemandTracker.empty();
         pair.onControl(
                 () -> {
                     LeaseDriver lease =
@@ -74,19 +75,20 @@
         return book;
     }
 
-    private boolean knows(DemandBook book) {
-        return book.askedBy(MODEL) == AskedBy.URGENT;
+    private boolean knows(DemandTracker book) {
+        return book.demandUrgency(MODEL) == DemandUrgency.URGENT;
     }
 
     @Test
     void shouldTellTheHolderWithoutTheLog() {
         MemoryLog leases = new MemoryLog();
-        DemandBook holder = daemon("holder", pair.holder(), leases, new MemoryLog(), NOTHING);
+        DemandTracker holder = daemon("holder", pair.holder(), leases, new MemoryLog(), NOTHING);
         pair.await(pair.holder()::holding);
         daemon("other", pair.follower(), leases, new MemoryLog(), ASKED);
 
         pair.await(() -> knows(holder));
-        pair.onControl(() -> assertThat(holder.askedBy(MODEL)).isEqualTo(AskedBy.URGENT));
+        pair.onControl(
+                () -> assertThat(holder.demandUrgency(MODEL)).isEqualTo(DemandUrgency.URGENT));
     }
 
     // The daemon that gives orders is killed. What it was told went over connections and is lost
@@ -96,15 +98,15 @@
     void shouldRememberWhatTheHolderBeforeWasTold() {
         MemoryLog leases = new MemoryLog();
         MemoryLog demands = new MemoryLog();
-        DemandBook holder = daemon("holder", pair.holder(), leases, demands, NOTHING);
+        DemandTracker holder = daemon("holder", pair.holder(), leases, demands, NOTHING);
         pair.await(pair.holder()::holding);
         daemon("other", pair.follower(), leases, new MemoryLog(), ASKED);
         pair.await(() -> knows(holder));
         pair.await(() -> !demands.records().isEmpty());
 
-        DemandBook next = daemon("next", pair.unconnected(), new MemoryLog(), demands, NOTHING);
+        DemandTracker next = daemon("next", pair.unconnected(), new MemoryLog(), demands, NOTHING);
 
         pair.await(() -> knows(next));
-        pair.onControl(() -> assertThat(next.askedBy(MODEL)).isEqualTo(AskedBy.URGENT));
+        pair.onControl(() -> assertThat(next.demandUrgency(MODEL)).isEqualTo(DemandUrgency.URGENT));
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
@@ -2,16 +2,11 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.tamaracktrack.core.copies.DemandBook;
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.ModelNeed;
 import org.tamaracktrack.core.fleet.TargetEntry;
@@ -22,6 +17,12 @@
 import org.tamaracktrack.core.lease.ConditionalLease.Contact;
 import org.tamaracktrack.core.lease.ConditionalLease.LeaseRecord;
 
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
 class DutyRecordsTest {
     private static final ModelId MODEL = ModelId.of("model");
 
@@ -58,7 +59,8 @@
             DutyRecords.DemandRecord record =
                     new DutyRecords.DemandRecord(
                             "host",
-                            new DemandBook.Seen(Map.of(need, 2), Map.of(), Map.of(need, 1)));
+                            new DemandTracker.DemandCounts(
+                                    Map.of(need, 2), Map.of(), Map.of(need, 1)));
 
             assertThat(DutyRecords.demand(DutyRecords.encode(record)))
                     .isEqualTo(Optional.of(record));
