--- a/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
@@ -91,11 +91,11 @@
 
     static RoutingTable routingTable(int targets, int copies) {
         RoutingTable table = RoutingTable.empty(DataCentreId.of("dc-0"));
-        table.configure(new Fleet(targets, 1_100).configuration());
+        table.applyConfiguration(new Fleet(targets, 1_100).configuration());
         for (int index = 0; index < targets; index++) {
-            table.heard(Fleet.load(index < copies ? 0 : index, 4), 0);
+            table.recordLoad(Fleet.load(index < copies ? 0 : index, 4), 0);
             if (index < copies) {
-                table.heard(sameModels(index), 0);
+                table.recordLoad(sameModels(index), 0);
             }
         }
         return table;
--- a/core/src/main/java/org/tamaracktrack/core/copies/AdapterPlanner.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/AdapterPlanner.java
@@ -1,12 +1,5 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.ModelNeed;
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.id.AdapterId;
-import org.tamaracktrack.core.id.ModelId;
-import org.tamaracktrack.core.route.EngineSpecification;
-import org.tamaracktrack.core.route.ModelSpecification;
-
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
@@ -16,6 +9,12 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.AdapterId;
+import org.tamaracktrack.core.id.ModelId;
+import org.tamaracktrack.core.route.EngineSpecification;
+import org.tamaracktrack.core.route.ModelSpecification;
 
 /**
  * Selects the next adapter to load or unload. An adapter loads in milliseconds, but a request for
@@ -160,7 +159,7 @@
         return new EngineCandidate(
                 engine,
                 tracker,
-                view.specification().adapterPlaces() - used,
+                view.specification().adapterSlots() - used,
                 view.specification().megabytes()
                         - ReplicaPlanner.usedMegabytes(view.specification(), tracker),
                 victim,
--- a/core/src/main/java/org/tamaracktrack/core/copies/DemandTracker.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/DemandTracker.java
@@ -1,14 +1,13 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.ModelNeed;
-import org.tamaracktrack.core.id.ModelId;
-
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
+import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.core.id.ModelId;
 
 /**
  * Tracks the demand for each model and adapter, over all daemons. Owned by the control thread.
--- a/core/src/main/java/org/tamaracktrack/core/copies/EngineLoads.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/EngineLoads.java
@@ -1,8 +1,5 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.id.ModelId;
-
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -10,6 +7,8 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.stream.Collectors;
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.ModelId;
 
 /**
  * Models how the requests of each model are distributed over the engines that hold it, and how many
--- a/core/src/main/java/org/tamaracktrack/core/copies/EngineReport.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/EngineReport.java
@@ -1,12 +1,11 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.HeldModel;
-import org.tamaracktrack.core.fleet.ModelNeed;
-import org.tamaracktrack.core.id.ModelId;
-
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
+import org.tamaracktrack.core.fleet.HeldModel;
+import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.core.id.ModelId;
 
 /**
  * Describes the state that an engine reports on request. It may be some hundred milliseconds old.
--- a/core/src/main/java/org/tamaracktrack/core/copies/EngineTracker.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/EngineTracker.java
@@ -1,11 +1,5 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.HeldModel;
-import org.tamaracktrack.core.fleet.ModelNeed;
-import org.tamaracktrack.core.id.AdapterId;
-import org.tamaracktrack.core.id.DataCentreId;
-import org.tamaracktrack.core.id.ModelId;
-
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -13,6 +7,11 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
+import org.tamaracktrack.core.fleet.HeldModel;
+import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.core.id.AdapterId;
+import org.tamaracktrack.core.id.DataCentreId;
+import org.tamaracktrack.core.id.ModelId;
 
 /**
  * Tracks the state of one engine at the daemon that issues orders: its last report and the orders
--- a/core/src/main/java/org/tamaracktrack/core/copies/PeakDemand.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/PeakDemand.java
@@ -1,10 +1,9 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.id.ModelId;
-
 import java.util.HashMap;
 import java.util.Map;
 import java.util.stream.Collectors;
+import org.tamaracktrack.core.id.ModelId;
 
 /**
  * Tracks the recent peak demand of each model, and the share of the peaks that is present at one
--- a/core/src/main/java/org/tamaracktrack/core/copies/PlacementOrder.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/PlacementOrder.java
@@ -1,12 +1,11 @@
 package org.tamaracktrack.core.copies;
 
+import java.util.Objects;
+import java.util.Optional;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 import org.tamaracktrack.core.id.AdapterId;
 import org.tamaracktrack.core.id.ModelId;
 
-import java.util.Objects;
-import java.util.Optional;
-
 /**
  * Describes an order to an engine to load or unload a model or an adapter.
  *
--- a/core/src/main/java/org/tamaracktrack/core/copies/ReplicaIndex.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/ReplicaIndex.java
@@ -1,15 +1,14 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.id.DataCentreId;
-import org.tamaracktrack.core.id.ModelId;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.DataCentreId;
+import org.tamaracktrack.core.id.ModelId;
 
 /**
  * Indexes, over all engines, the models that are held, about to be held, or available locally.
--- a/core/src/main/java/org/tamaracktrack/core/copies/ReplicaPlanner.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/ReplicaPlanner.java
@@ -1,12 +1,5 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.id.AdapterId;
-import org.tamaracktrack.core.id.DataCentreId;
-import org.tamaracktrack.core.id.ModelId;
-import org.tamaracktrack.core.route.EngineSpecification;
-import org.tamaracktrack.core.route.ModelSpecification;
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -16,6 +9,12 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.AdapterId;
+import org.tamaracktrack.core.id.DataCentreId;
+import org.tamaracktrack.core.id.ModelId;
+import org.tamaracktrack.core.route.EngineSpecification;
+import org.tamaracktrack.core.route.ModelSpecification;
 
 /**
  * Selects the next move of a model: loads the replica that takes the most load off the others, in
--- a/core/src/main/java/org/tamaracktrack/core/copies/ReplicaValue.java
+++ b/core/src/main/java/org/tamaracktrack/core/copies/ReplicaValue.java
@@ -1,12 +1,11 @@
 package org.tamaracktrack.core.copies;
 
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.id.ModelId;
-
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.ModelId;
 
 /**
  * Computes the value of model replicas, in requests per second that they cause to be answered in
--- a/core/src/main/java/org/tamaracktrack/core/delay/SchedulingDelay.java
+++ b/core/src/main/java/org/tamaracktrack/core/delay/SchedulingDelay.java
@@ -4,61 +4,63 @@
 import java.util.Deque;
 
 /**
- * How late one thread runs what is due, told by a beat that is due at a fixed interval. A thread
- * that is busy, or that gets no processor time, runs its beat late. Safe for use by several
- * threads.
+ * Measures how late one thread runs its tasks, by a tick that is due at a fixed interval. A thread
+ * that is busy or receives no processor time runs its tick late. Safe for use by several threads.
  */
 public final class SchedulingDelay {
-    /** Timers fire late by this much on a host that is not busy. */
-    private static final long USUAL_MILLIS = 50;
+    /** Delay of a tick that is ignored, since timers fire this late on a host that is not busy. */
+    private static final long TOLERATED_DELAY_MILLIS = 50;
 
-    /** How long beats are remembered, in milliseconds. */
-    private static final long REMEMBERED_MILLIS = 10_000;
+    /** Time for which late ticks are kept. */
+    private static final long RETENTION_MILLIS = 10_000;
 
     private final long intervalMillis;
-    private final long lateMillis;
-    private final Deque<LateBeat> lateBeats = new ArrayDeque<>();
+    private final long maximumTotalDelayMillis;
+    private final Deque<LateTick> lateTicks = new ArrayDeque<>();
     private long dueMillis;
     private long longestMillis;
 
-    private record LateBeat(long dueMillis, long ranMillis) {
-        private long lateSince(long sinceMillis) {
-            return Math.max(0, ranMillis - Math.max(dueMillis + USUAL_MILLIS, sinceMillis));
+    private record LateTick(long dueMillis, long ranMillis) {
+        private long delaySince(long sinceMillis) {
+            return Math.max(
+                    0, ranMillis - Math.max(dueMillis + TOLERATED_DELAY_MILLIS, sinceMillis));
         }
     }
 
-    private SchedulingDelay(long intervalMillis, long lateMillis, long nowMillis) {
+    private SchedulingDelay(long intervalMillis, long maximumTotalDelayMillis, long nowMillis) {
         this.intervalMillis = intervalMillis;
-        this.lateMillis = lateMillis;
+        this.maximumTotalDelayMillis = maximumTotalDelayMillis;
         this.dueMillis = nowMillis + intervalMillis;
     }
 
     /**
-     * Returns the delay of a thread whose first beat is due an interval from now.
+     * Returns the measurement of a thread whose first tick is due one interval from now.
      *
-     * @param intervalMillis the time between the end of a beat and the next one
-     * @param lateMillis a thread whose beats are later than this in all is late
-     * @param nowMillis the monotonic time
-     * @return the delay
+     * @param intervalMillis the time from a tick to the next one, in milliseconds
+     * @param maximumTotalDelayMillis the total delay of its ticks, in milliseconds, above which a
+     *     thread counts as late
+     * @param nowMillis the monotonic time in milliseconds
+     * @return the measurement
      */
-    public static SchedulingDelay of(long intervalMillis, long lateMillis, long nowMillis) {
-        return new SchedulingDelay(intervalMillis, lateMillis, nowMillis);
+    public static SchedulingDelay of(
+            long intervalMillis, long maximumTotalDelayMillis, long nowMillis) {
+        return new SchedulingDelay(intervalMillis, maximumTotalDelayMillis, nowMillis);
     }
 
     /**
-     * The beat runs.
+     * Records that the tick runs.
      *
-     * @param nowMillis the monotonic time
-     * @return how late it is; 0 when it is not
+     * @param nowMillis the monotonic time in milliseconds
+     * @return the delay of the tick in milliseconds; 0 when it is on time
      */
-    public synchronized long beat(long nowMillis) {
+    public synchronized long recordTick(long nowMillis) {
         long delayMillis = Math.max(0, nowMillis - dueMillis);
-        if (delayMillis > USUAL_MILLIS) {
-            lateBeats.addLast(new LateBeat(dueMillis, nowMillis));
+        if (delayMillis > TOLERATED_DELAY_MILLIS) {
+            lateTicks.addLast(new LateTick(dueMillis, nowMillis));
         }
-        while (!lateBeats.isEmpty()
-                && lateBeats.getFirst().ranMillis() < nowMillis - REMEMBERED_MILLIS) {
-            lateBeats.removeFirst();
+        while (!lateTicks.isEmpty()
+                && lateTicks.getFirst().ranMillis() < nowMillis - RETENTION_MILLIS) {
+            lateTicks.removeFirst();
         }
         longestMillis = Math.max(longestMillis, delayMillis);
         dueMillis = nowMillis + intervalMillis;
@@ -66,25 +68,25 @@
     }
 
     /**
-     * Returns whether the thread has run in time since a moment, by the sum of its delays: several
-     * steps that are each a little late add up. What did not arrive meanwhile did not lie here
-     * unread.
+     * Returns whether the thread has run on time since a given time, by the sum of its delays, so
+     * that several short delays add up. If it has, a message that was not received in this period
+     * was not waiting unread in this process.
      *
-     * @param sinceMillis the moment, ten seconds ago at most
-     * @param nowMillis the monotonic time
+     * @param sinceMillis the monotonic start time in milliseconds, at most ten seconds ago
+     * @param nowMillis the monotonic time in milliseconds
      * @return false when the thread was late, or is late now
      */
-    public synchronized boolean punctualSince(long sinceMillis, long nowMillis) {
-        long wasLateMillis =
-                lateBeats.stream().mapToLong(beat -> beat.lateSince(sinceMillis)).sum();
-        long isLateMillis = new LateBeat(dueMillis, nowMillis).lateSince(sinceMillis);
-        return wasLateMillis + isLateMillis <= lateMillis;
+    public synchronized boolean onTimeSince(long sinceMillis, long nowMillis) {
+        long pastDelayMillis =
+                lateTicks.stream().mapToLong(tick -> tick.delaySince(sinceMillis)).sum();
+        long currentDelayMillis = new LateTick(dueMillis, nowMillis).delaySince(sinceMillis);
+        return pastDelayMillis + currentDelayMillis <= maximumTotalDelayMillis;
     }
 
     /**
-     * Returns the longest delay since this was last asked.
+     * Returns the longest delay since the last call, and resets it.
      *
-     * @return milliseconds
+     * @return the delay in milliseconds
      */
     public synchronized long takeLongestMillis() {
         long taken = longestMillis;
--- a/core/src/main/java/org/tamaracktrack/core/delay/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/delay/package-info.java
@@ -1,2 +1,2 @@
-/** How late this process's own threads run what is due. */
+/** Measures how late the threads of this process run their tasks. */
 package org.tamaracktrack.core.delay;
--- a/core/src/main/java/org/tamaracktrack/core/dispatch/LoadTime.java
+++ b/core/src/main/java/org/tamaracktrack/core/dispatch/LoadTime.java
@@ -1,7 +1,7 @@
 package org.tamaracktrack.core.dispatch;
 
 import java.util.OptionalLong;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.ServiceId;
@@ -25,7 +25,7 @@
      * @return milliseconds; empty when the model is not configured or there is no engine
      */
     public static OptionalLong millis(
-            ModelId model, ServiceId service, EngineSpecification engine, Fleet fleet) {
+            ModelId model, ServiceId service, EngineSpecification engine, FleetSnapshot fleet) {
         return engine.model(model).stream()
                 .flatMapToLong(
                         specification ->
@@ -38,10 +38,10 @@
     }
 
     private static long loadMillis(ModelSpecification model, TargetEntry entry) {
-        if (entry.copiesInMemory().contains(model.model())) {
+        if (entry.modelsInMemory().contains(model.model())) {
             return model.memoryMillis();
         }
-        return entry.copiesOnDisk().contains(model.model())
+        return entry.modelsOnDisk().contains(model.model())
                 ? model.diskMillis()
                 : model.storeMillis();
     }
--- a/core/src/main/java/org/tamaracktrack/core/dispatch/TargetChooser.java
+++ b/core/src/main/java/org/tamaracktrack/core/dispatch/TargetChooser.java
@@ -8,7 +8,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
 import java.util.stream.Stream;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 import org.tamaracktrack.core.id.DataCentreId;
@@ -85,7 +85,7 @@
      */
     public Optional<Choice> choose(
             Work work,
-            Fleet fleet,
+            FleetSnapshot fleet,
             Function<TargetIncarnation, TargetLoad> loads,
             Collection<TargetId> tried,
             long nowMillis,
@@ -114,7 +114,7 @@
      * @param fleet the targets
      * @return those that are not leaving
      */
-    public static Stream<TargetEntry> candidates(Work work, Fleet fleet) {
+    public static Stream<TargetEntry> candidates(Work work, FleetSnapshot fleet) {
         return fleet.ready(work.service())
                 .filter(entry -> work.need().map(entry::holds).orElse(true));
     }
--- a/core/src/main/java/org/tamaracktrack/core/fleet/Fleet.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/FleetSnapshot.java
@@ -8,80 +8,80 @@
 import org.tamaracktrack.core.id.ServiceId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** The targets known at one moment. Immutable. */
-public final class Fleet {
-    private static final Fleet EMPTY = new Fleet(Map.of());
+/** Holds the targets that are known at one moment. Immutable. */
+public final class FleetSnapshot {
+    private static final FleetSnapshot EMPTY = new FleetSnapshot(Map.of());
 
     private final Map<TargetId, TargetEntry> byTarget;
     private final Map<ServiceId, List<TargetEntry>> byService;
 
-    private Fleet(Map<TargetId, TargetEntry> byTarget) {
+    private FleetSnapshot(Map<TargetId, TargetEntry> byTarget) {
         this.byTarget = Map.copyOf(byTarget);
         this.byService =
                 byTarget.values().stream()
-                        .sorted((one, other) -> order(one).compareTo(order(other)))
+                        .sorted((one, other) -> sortKey(one).compareTo(sortKey(other)))
                         .collect(
                                 Collectors.groupingBy(
                                         TargetEntry::service, Collectors.toUnmodifiableList()));
     }
 
-    private static TargetId order(TargetEntry entry) {
+    private static TargetId sortKey(TargetEntry entry) {
         return entry.incarnation().target();
     }
 
     /**
-     * Returns a fleet without targets.
+     * Returns a snapshot without targets.
      *
-     * @return the fleet
+     * @return the snapshot
      */
-    public static Fleet empty() {
+    public static FleetSnapshot empty() {
         return EMPTY;
     }
 
     /**
-     * Returns a fleet.
+     * Returns a snapshot of the given targets.
      *
      * @param byTarget the targets by name
-     * @return the fleet
+     * @return the snapshot
      */
-    public static Fleet of(Map<TargetId, TargetEntry> byTarget) {
-        return new Fleet(byTarget);
+    public static FleetSnapshot of(Map<TargetId, TargetEntry> byTarget) {
+        return new FleetSnapshot(byTarget);
     }
 
     /**
      * Returns the targets of a service.
      *
      * @param service the service
-     * @return its targets, also those that are leaving, by name
+     * @return its targets, including those that are leaving, sorted by name
      */
     public List<TargetEntry> of(ServiceId service) {
         return byService.getOrDefault(service, List.of());
     }
 
     /**
-     * Returns the targets of a service that take new work.
+     * Returns the targets of a service that accept new requests.
      *
      * @param service the service
-     * @return its targets
+     * @return its targets that are not leaving, sorted by name
      */
     public Stream<TargetEntry> ready(ServiceId service) {
         return of(service).stream().filter(entry -> !entry.leaving());
     }
 
     /**
-     * Returns what is known of a target.
+     * Returns the registry entry of a target.
      *
      * @param target the target
-     * @return its entry; empty when it is not known
+     * @return the entry; empty when the target is not known
      */
     public Optional<TargetEntry> entry(TargetId target) {
         return Optional.ofNullable(byTarget.get(target));
     }
 
     /**
-     * Returns every target.
+     * Returns all targets.
      *
-     * @return the targets
+     * @return the targets, in no particular order
      */
     public Stream<TargetEntry> all() {
         return byTarget.values().stream();
--- a/core/src/main/java/org/tamaracktrack/core/fleet/HeldModel.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/HeldModel.java
@@ -6,10 +6,10 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * A model in a target's accelerator memory.
+ * Describes a model in a target's accelerator memory. Its text appears in the log.
  *
  * @param model the model
- * @param adapters its adapters that are ready too
+ * @param adapters its adapters that are ready
  */
 public record HeldModel(ModelId model, Set<AdapterId> adapters) {
 
--- a/core/src/main/java/org/tamaracktrack/core/fleet/ModelNeed.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/ModelNeed.java
@@ -6,10 +6,11 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * What a request needs in a target's accelerator memory.
+ * Describes the model and adapter that a request needs in a target's accelerator memory. Its text
+ * appears in the log and in stored records.
  *
  * @param model the model
- * @param adapter the adapter of that model, if the request names one
+ * @param adapter the adapter of that model; empty when the request names none
  */
 public record ModelNeed(ModelId model, Optional<AdapterId> adapter) {
     private static final char ADAPTER_MARK = '/';
@@ -21,12 +22,12 @@
     }
 
     /**
-     * Reads the text of a need: a model, and after a slash one of its adapters.
+     * Parses the text of a need: a model, optionally followed by a slash and one of its adapters.
      *
-     * @param text what {@link #toString} gives
+     * @param text the text in the format of {@link #toString}
      * @return the need
      * @throws org.tamaracktrack.core.error.TamaracktrackException with {@code BAD_IDENTIFIER} when
-     *     a part of it is no name
+     *     a part is not a valid name
      */
     public static ModelNeed parse(String text) {
         int mark = text.indexOf(ADAPTER_MARK);
--- a/core/src/main/java/org/tamaracktrack/core/fleet/TargetAddress.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/TargetAddress.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * Where a target takes requests.
+ * Holds the network address at which a target accepts requests.
  *
- * @param ip its IP number
+ * @param ip its IP address
  * @param port its port
  */
 public record TargetAddress(String ip, int port) {
--- a/core/src/main/java/org/tamaracktrack/core/fleet/TargetEntry.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/TargetEntry.java
@@ -12,18 +12,18 @@
 import org.tamaracktrack.core.id.ServiceId;
 
 /**
- * What a target last said of itself in the registry.
+ * Holds the latest registry entry of a target.
  *
- * @param incarnation the target and its run
+ * @param incarnation the target and its incarnation
  * @param service the service that it belongs to
- * @param address where it takes requests
- * @param dataCentre where it stands
- * @param slots requests that it runs at once
- * @param leaving whether it takes no new work
- * @param revision grows with what the target reports within one run
- * @param models what it holds, by model
- * @param copiesInMemory models that it can load from main memory
- * @param copiesOnDisk models that it can load from disk
+ * @param address the address at which it accepts requests
+ * @param dataCentre the data centre of the target
+ * @param slots the number of requests that it runs at the same time
+ * @param leaving whether it is leaving and accepts no new requests
+ * @param revision the revision of the entry, which increases within one incarnation
+ * @param models the models that it holds, by name
+ * @param modelsInMemory the models that it can load from main memory
+ * @param modelsOnDisk the models that it can load from disk
  */
 public record TargetEntry(
         TargetIncarnation incarnation,
@@ -34,8 +34,8 @@
         boolean leaving,
         long revision,
         Map<ModelId, HeldModel> models,
-        Set<ModelId> copiesInMemory,
-        Set<ModelId> copiesOnDisk) {
+        Set<ModelId> modelsInMemory,
+        Set<ModelId> modelsOnDisk) {
 
     /** Checks the arguments. */
     public TargetEntry {
@@ -44,17 +44,17 @@
         Objects.requireNonNull(address, "address is null");
         Objects.requireNonNull(dataCentre, "dataCentre is null");
         models = Map.copyOf(models);
-        copiesInMemory = Set.copyOf(copiesInMemory);
-        copiesOnDisk = Set.copyOf(copiesOnDisk);
+        modelsInMemory = Set.copyOf(modelsInMemory);
+        modelsOnDisk = Set.copyOf(modelsOnDisk);
     }
 
     /**
-     * Returns the same entry with other models.
+     * Returns a copy of the entry with other models.
      *
-     * @param held what the target holds, by model
-     * @return the entry
+     * @param held the models that the target holds, by name
+     * @return the copy
      */
-    public TargetEntry holding(Map<ModelId, HeldModel> held) {
+    public TargetEntry withModels(Map<ModelId, HeldModel> held) {
         return new TargetEntry(
                 incarnation,
                 service,
@@ -64,17 +64,17 @@
                 leaving,
                 revision,
                 held,
-                copiesInMemory,
-                copiesOnDisk);
+                modelsInMemory,
+                modelsOnDisk);
     }
 
     /**
      * Indexes held models by name.
      *
      * @param models the models
-     * @return the same by name
+     * @return the models by name; the last one where a name occurs twice
      */
-    public static Map<ModelId, HeldModel> byModel(List<HeldModel> models) {
+    public static Map<ModelId, HeldModel> indexByModel(List<HeldModel> models) {
         return models.stream()
                 .collect(
                         Collectors.toMap(
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Returns whether the target can run a request now.
+     * Returns whether the target holds what a request needs.
      *
-     * @param need what the request needs
+     * @param need the model and adapter that the request needs
      * @return true when the model, and the adapter if one is named, are in memory
      */
     public boolean holds(ModelNeed need) {
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Returns whether the target holds a model, with or without adapters.
+     * Returns whether the target holds a model, regardless of adapters.
      *
      * @param model the model
      * @return true when it does
--- a/core/src/main/java/org/tamaracktrack/core/fleet/TargetIncarnation.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/TargetIncarnation.java
@@ -4,11 +4,12 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * One run of a target. A target that starts again under its name is another incarnation: it holds
- * and knows nothing of before.
+ * Identifies one run of a target. A target that restarts under its name is another incarnation,
+ * which holds none of the models of the former one.
  *
  * @param target the target
- * @param startedAtMillis when this run started, by the target's own clock
+ * @param startedAtMillis the time in milliseconds at which this run started, by the target's own
+ *     clock
  */
 public record TargetIncarnation(TargetId target, long startedAtMillis) {
 
--- a/core/src/main/java/org/tamaracktrack/core/fleet/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The targets that are known now: who they are, where, and what they hold. */
+/** Tracks the known targets, their addresses, and the models that they hold. */
 package org.tamaracktrack.core.fleet;
--- a/core/src/main/java/org/tamaracktrack/core/route/EngineSpecification.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/EngineSpecification.java
@@ -5,18 +5,19 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * What the model engines of a service can hold and run.
+ * Describes what each model engine of a service can hold and run.
  *
- * @param slots requests at once on one engine
- * @param megabytes accelerator memory for weights and adapters on one engine
- * @param adapterPlaces adapters on one engine
- * @param loadsPerSecond loads from the weight store, all engines together
+ * @param slots the number of requests that one engine runs at the same time
+ * @param megabytes the accelerator memory of one engine for weights and adapters, in megabytes
+ * @param adapterSlots the number of adapters that one engine can hold
+ * @param loadsPerSecond the maximum rate of loads from the weight store over all engines, in loads
+ *     per second
  * @param models the models by name
  */
 public record EngineSpecification(
         int slots,
         double megabytes,
-        int adapterPlaces,
+        int adapterSlots,
         double loadsPerSecond,
         Map<ModelId, ModelSpecification> models) {
 
@@ -26,10 +27,10 @@
     }
 
     /**
-     * Returns what it takes to hold a model.
+     * Returns the specification of a model.
      *
      * @param model the model
-     * @return its specification; empty for a model that is not configured
+     * @return the specification; empty when the model is not configured
      */
     public Optional<ModelSpecification> model(ModelId model) {
         return Optional.ofNullable(models.get(model));
--- a/core/src/main/java/org/tamaracktrack/core/route/ModelSpecification.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/ModelSpecification.java
@@ -6,14 +6,14 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * What it takes to hold one model.
+ * Describes the memory and load times of one model.
  *
  * @param model the model
- * @param megabytes accelerator memory of its weights
- * @param storeMillis time to load it from the weight store
- * @param memoryMillis time to load it from the target's main memory
- * @param diskMillis time to load it from the target's disk
- * @param adapterMegabytes accelerator memory of one of its adapters
+ * @param megabytes the accelerator memory of its weights, in megabytes
+ * @param storeMillis the time to load it from the weight store, in milliseconds
+ * @param memoryMillis the time to load it from the target's main memory, in milliseconds
+ * @param diskMillis the time to load it from the target's disk, in milliseconds
+ * @param adapterMegabytes the accelerator memory of one of its adapters, in megabytes
  * @param adapters its adapters
  */
 public record ModelSpecification(
--- a/core/src/main/java/org/tamaracktrack/core/route/Route.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/Route.java
@@ -5,18 +5,19 @@
 import org.tamaracktrack.core.id.ServiceId;
 
 /**
- * Requests of one host name and path prefix, and how they are served.
+ * Describes how requests of one host name and path prefix are served.
  *
- * @param name the name for logs and metrics
+ * @param name the name of the route in logs and metrics
  * @param host the host name that callers send, in lower case
- * @param pathPrefix begins and ends with a slash
- * @param kind what a failure allows
- * @param resumable whether a broken stream may go on at another target
- * @param timeoutMillis the longest that a caller is kept waiting
- * @param objectiveMillis the time to the answer, or to a stream's first event, that is promised
- * @param priority the rank, 0 is the highest
- * @param maximumAttempts to how many targets a request may be sent
- * @param services where requests go
+ * @param pathPrefix the path prefix, which begins and ends with a slash
+ * @param kind the kind of the route, which determines what is allowed after a failure
+ * @param resumable whether an interrupted stream may be resumed at another target
+ * @param timeoutMillis the maximum time that a caller waits, in milliseconds
+ * @param objectiveMillis the objective for the time to the answer, or to the first event of a
+ *     stream, in milliseconds
+ * @param priority the priority; 0 is the highest
+ * @param maximumAttempts the maximum number of targets that a request may be sent to
+ * @param services the services that requests are distributed to, with their weights
  */
 public record Route(
         String name,
@@ -40,18 +41,18 @@
     }
 
     /**
-     * Returns whether a request may run again after it may have run.
+     * Returns whether a request may be retried when it is unknown whether it has run.
      *
-     * @return true for idempotent requests
+     * @return true for idempotent requests and resumable streams
      */
     public boolean repeatable() {
         return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAMING && resumable;
     }
 
     /**
-     * Chooses the service of one request.
+     * Selects the service of one request in proportion to the weights.
      *
-     * @param draw a number from 0 (inclusive) to 1 (exclusive)
+     * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      * @return the service
      */
     public ServiceId service(double draw) {
--- a/core/src/main/java/org/tamaracktrack/core/route/RouteKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/RouteKind.java
@@ -1,11 +1,11 @@
 package org.tamaracktrack.core.route;
 
-/** What a route's requests allow after a failure. */
+/** Classifies routes by what their requests allow after a failure. */
 public enum RouteKind {
     /** A request may run more than once. */
     IDEMPOTENT,
     /** A request runs at most once. */
     NON_IDEMPOTENT,
-    /** The answer is a stream of events; it may be resumed where the route says so. */
+    /** The answer is a stream of events, which may be resumed if the route is resumable. */
     STREAMING
 }
--- a/core/src/main/java/org/tamaracktrack/core/route/RouteTable.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/RouteTable.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** Routes by host name; among those of a host the longest matching path prefix is chosen. */
+/**
+ * Finds routes by host name and path. Among the routes of a host the one with the longest matching
+ * path prefix is selected.
+ */
 public final class RouteTable {
     private final Map<String, List<Route>> byHost;
 
@@ -15,7 +18,7 @@
     }
 
     /**
-     * Returns a table.
+     * Returns a table of the given routes.
      *
      * @param routes the routes
      * @return the table
--- a/core/src/main/java/org/tamaracktrack/core/route/ServiceSpecification.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/ServiceSpecification.java
@@ -5,10 +5,10 @@
 import org.tamaracktrack.core.id.ServiceId;
 
 /**
- * A service behind the routes.
+ * Describes a service that routes refer to.
  *
- * @param service its name
- * @param engine what its engines can hold; empty for a plain service
+ * @param service the name of the service
+ * @param engine the specification of its engines; empty for a plain service
  */
 public record ServiceSpecification(ServiceId service, Optional<EngineSpecification> engine) {
 
--- a/core/src/main/java/org/tamaracktrack/core/route/ServingConfiguration.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/ServingConfiguration.java
@@ -6,18 +6,18 @@
 import org.tamaracktrack.core.id.ServiceId;
 
 /**
- * One version of what operators published about serving.
+ * Holds one version of the serving configuration that operators published.
  *
- * @param version grows with each publication, in uneven steps
+ * @param version the version, which increases with each publication, not necessarily by one
  * @param routes the routes
  * @param services the services by name
- * @param limits bounds on what callers may send
+ * @param limits the limits on requests of callers
  */
 public record ServingConfiguration(
         long version,
         RouteTable routes,
         Map<ServiceId, ServiceSpecification> services,
-        CallerLimits limits) {
+        RequestLimits limits) {
 
     /** Checks the arguments. */
     public ServingConfiguration {
@@ -30,17 +30,17 @@
      * Returns a service's specification.
      *
      * @param service the service
-     * @return its specification; empty when it is not configured
+     * @return the specification; empty when the service is not configured
      */
     public Optional<ServiceSpecification> service(ServiceId service) {
         return Optional.ofNullable(services.get(service));
     }
 
     /**
-     * Returns what the engines of a service can hold.
+     * Returns the specification of a service's engines.
      *
      * @param service the service
-     * @return the engines; empty for a plain service
+     * @return the specification; empty for a plain service and when the service is not configured
      */
     public Optional<EngineSpecification> engine(ServiceId service) {
         return service(service).flatMap(ServiceSpecification::engine);
--- a/core/src/main/java/org/tamaracktrack/core/route/WeightedService.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/WeightedService.java
@@ -4,10 +4,10 @@
 import org.tamaracktrack.core.id.ServiceId;
 
 /**
- * A service with its share of a route's requests.
+ * Holds a service with its weight among the services of a route.
  *
  * @param service the service
- * @param weight its weight against the route's other services, not negative
+ * @param weight the weight relative to the route's other services, not negative
  */
 public record WeightedService(ServiceId service, double weight) {
 
--- a/core/src/main/java/org/tamaracktrack/core/route/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/route/package-info.java
@@ -1,2 +1,5 @@
-/** What callers may ask for: routes to services, and what each service's targets can hold. */
+/**
+ * Models the serving configuration: routes to services, and what the targets of each service can
+ * hold.
+ */
 package org.tamaracktrack.core.route;
--- a/core/src/main/java/org/tamaracktrack/core/routing/Candidate.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/Candidate.java
@@ -5,16 +5,17 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * A target that an attempt may go to, and what is known of it.
+ * Describes a target that an attempt may be sent to, with its estimated load.
  *
  * @param target the target
- * @param adapterResident whether the adapter is in memory, or none is asked for
- * @param distanceMillis the round trip to its data centre; 0 for the own one
- * @param concurrency how many requests it runs at once, 1 or more
- * @param hint what it last said of its load
- * @param ownOutstanding attempts of this daemon there that have not ended
- * @param unreported attempts of this daemon there that the hint does not count
- * @param serviceMillis the mean time of an attempt there, as this daemon saw it
+ * @param adapterResident whether the requested adapter is in memory; true when none is requested
+ * @param distanceMillis the round trip to its data centre in milliseconds; 0 for the local one
+ * @param concurrency the number of requests that it runs at the same time, at least 1
+ * @param hint its latest load report
+ * @param ownOutstanding the attempts of this daemon at the target that have not ended
+ * @param unreported the attempts of this daemon at the target that the hint does not include
+ * @param serviceMillis the mean time of an attempt at the target in milliseconds, as measured by
+ *     this daemon
  */
 public record Candidate(
         TargetId target,
@@ -33,11 +34,11 @@
     }
 
     /**
-     * A target's report of its load.
+     * Holds the load that a target reported.
      *
-     * @param waitMillis the estimated wait for the class asked for
-     * @param outstanding requests running and queued there
-     * @param ageMillis how long ago it arrived
+     * @param waitMillis the estimated wait of the request class in milliseconds
+     * @param outstanding the number of requests that run or are queued at the target
+     * @param ageMillis the age of the report in milliseconds, counted from its arrival
      */
     public record Hint(long waitMillis, int outstanding, long ageMillis) {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/routing/EstimatedWaitPolicy.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/EstimatedWaitPolicy.java
@@ -9,15 +9,16 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * Two random choices on estimated wait, nearest data centre first, with a preference for the target
- * that probably holds the prompt's prefix in its cache.
+ * Selects the better of two random candidates by estimated wait, in the local data centre and in
+ * the others, with the distance added to the wait. Prefers the target that probably has the
+ * prompt's prefix in its cache, unless its wait is too long.
  */
 public final class EstimatedWaitPolicy implements RoutingPolicy {
     private static final EstimatedWaitPolicy INSTANCE = new EstimatedWaitPolicy();
-    private static final double HALF_LIFE_MILLIS = 2_000;
+    private static final double HINT_HALF_LIFE_MILLIS = 2_000;
     private static final double UNKNOWN_WAIT_MILLIS = 100;
     private static final double ADAPTER_LOAD_MILLIS = 250;
-    private static final double AFFINITY_BOUND = 1.25;
+    private static final double AFFINITY_COST_FACTOR = 1.25;
     private static final double AFFINITY_SLACK_MILLIS = 50;
 
     private EstimatedWaitPolicy() {}
@@ -43,8 +44,8 @@
                 candidates.stream()
                         .map(candidate -> new Scored(candidate, costMillis(candidate, mean)))
                         .collect(Collectors.toList());
-        return affinityHome(query, scored)
-                .or(() -> nearestOfTwo(scored, seed))
+        return affinityTarget(query, scored)
+                .or(() -> bestByDataCentre(scored, seed))
                 .map(choice -> choice.candidate().target());
     }
 
@@ -56,43 +57,46 @@
                 .orElse(UNKNOWN_WAIT_MILLIS);
     }
 
-    // The hint of a target that fell silent says how it was, not how it is. Taken at its word, an
-    // idle report would draw every request to a target that has long been busy; so with age the
-    // report gives way to the mean of all, which is never less than a floor above zero.
+    // A target that has stopped reporting leaves an outdated hint. If it were used unchanged, an
+    // idle report would attract every request to a target that has long been busy. The weight of
+    // the hint therefore decays with its age towards the mean of all hints, which is never less
+    // than a floor above zero.
     private static double costMillis(Candidate candidate, double meanWaitMillis) {
-        double prior = Math.max(meanWaitMillis, UNKNOWN_WAIT_MILLIS);
-        double wait =
+        double fallbackMillis = Math.max(meanWaitMillis, UNKNOWN_WAIT_MILLIS);
+        double waitMillis =
                 candidate
                         .hint()
-                        .map(hint -> faded(hint.waitMillis(), hint.ageMillis(), prior))
-                        .orElse(prior);
-        // Between two reports every entry daemon would send to the target that looked idle; its
-        // own attempts since then are added, so that it sees at least its own part of the herd.
-        double own = candidate.unreported() * candidate.serviceMillis() / candidate.concurrency();
-        double adapter = candidate.adapterResident() ? 0 : ADAPTER_LOAD_MILLIS;
-        return wait + own + adapter;
+                        .map(hint -> decayed(hint.waitMillis(), hint.ageMillis(), fallbackMillis))
+                        .orElse(fallbackMillis);
+        // Between two reports every entry daemon would send its requests to the target that
+        // appeared idle. The daemon's own unreported attempts are added, so that it accounts at
+        // least for its own part of this load.
+        double unreportedMillis =
+                candidate.unreported() * candidate.serviceMillis() / candidate.concurrency();
+        double adapterMillis = candidate.adapterResident() ? 0 : ADAPTER_LOAD_MILLIS;
+        return waitMillis + unreportedMillis + adapterMillis;
     }
 
-    private static double faded(long reportedMillis, long ageMillis, double prior) {
-        double weight = Math.pow(0.5, Math.max(0, ageMillis) / HALF_LIFE_MILLIS);
-        return weight * reportedMillis + (1 - weight) * prior;
+    private static double decayed(long reportedMillis, long ageMillis, double fallbackMillis) {
+        double weight = Math.pow(0.5, Math.max(0, ageMillis) / HINT_HALF_LIFE_MILLIS);
+        return weight * reportedMillis + (1 - weight) * fallbackMillis;
     }
 
-    private static Optional<Scored> affinityHome(RoutingQuery query, List<Scored> scored) {
+    private static Optional<Scored> affinityTarget(RoutingQuery query, List<Scored> scored) {
         if (query.prefix().isEmpty()) {
             return Optional.empty();
         }
         long prefix = query.prefix().getAsLong();
         double mean = scored.stream().mapToDouble(Scored::costMillis).average().orElse(0);
-        double bound = AFFINITY_BOUND * mean + AFFINITY_SLACK_MILLIS;
-        return nearest(scored).stream()
+        double bound = AFFINITY_COST_FACTOR * mean + AFFINITY_SLACK_MILLIS;
+        return localOrAll(scored).stream()
                 .max(
                         Comparator.comparingLong(
-                                choice -> Mixing.rank(prefix, choice.candidate().target())))
-                .filter(home -> home.costMillis() <= bound);
+                                choice -> SeededHash.rank(prefix, choice.candidate().target())))
+                .filter(target -> target.costMillis() <= bound);
     }
 
-    private static List<Scored> nearest(List<Scored> scored) {
+    private static List<Scored> localOrAll(List<Scored> scored) {
         List<Scored> local =
                 scored.stream()
                         .filter(choice -> choice.candidate().distanceMillis() == 0)
@@ -100,15 +104,15 @@
         return local.isEmpty() ? scored : local;
     }
 
-    private static Optional<Scored> nearestOfTwo(List<Scored> scored, long seed) {
-        Map<Boolean, List<Scored>> byPlace =
+    private static Optional<Scored> bestByDataCentre(List<Scored> scored, long seed) {
+        Map<Boolean, List<Scored>> byLocality =
                 scored.stream()
                         .collect(
                                 Collectors.partitioningBy(
                                         choice -> choice.candidate().distanceMillis() == 0));
         return Stream.of(
-                        betterOfTwo(byPlace.get(true), seed),
-                        betterOfTwo(byPlace.get(false), ~seed))
+                        betterOfTwo(byLocality.get(true), seed),
+                        betterOfTwo(byLocality.get(false), ~seed))
                 .flatMap(Optional::stream)
                 .min(Comparator.comparingDouble(EstimatedWaitPolicy::costWithDistance));
     }
@@ -117,14 +121,14 @@
         return choice.costMillis() + choice.candidate().distanceMillis();
     }
 
-    // The least of all is what every entry daemon sees at once and runs to; the better of two
-    // random ones spreads them and is nearly as good.
+    // All entry daemons see the same candidate with the lowest cost and would all select it at the
+    // same time. The better of two random candidates distributes the load and is nearly as good.
     private static Optional<Scored> betterOfTwo(List<Scored> scored, long seed) {
         if (scored.size() < 2) {
             return scored.stream().findFirst();
         }
-        int first = Mixing.index(seed, scored.size());
-        int second = (first + 1 + Mixing.index(~seed, scored.size() - 1)) % scored.size();
+        int first = SeededHash.index(seed, scored.size());
+        int second = (first + 1 + SeededHash.index(~seed, scored.size() - 1)) % scored.size();
         return Stream.of(scored.get(first), scored.get(second))
                 .min(Comparator.comparingDouble(EstimatedWaitPolicy::costWithDistance));
     }
--- a/core/src/main/java/org/tamaracktrack/core/routing/FewestOutstandingPolicy.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/FewestOutstandingPolicy.java
@@ -5,7 +5,10 @@
 import java.util.Optional;
 import org.tamaracktrack.core.id.TargetId;
 
-/** The candidate with the fewest of this daemon's own attempts outstanding: a baseline. */
+/**
+ * Selects the candidate with the fewest outstanding attempts of this daemon. Serves as a baseline
+ * for comparisons.
+ */
 public final class FewestOutstandingPolicy implements RoutingPolicy {
     private static final FewestOutstandingPolicy INSTANCE = new FewestOutstandingPolicy();
 
@@ -26,7 +29,7 @@
                 .min(
                         Comparator.comparingInt(Candidate::ownOutstanding)
                                 .thenComparingLong(
-                                        candidate -> Mixing.rank(seed, candidate.target())))
+                                        candidate -> SeededHash.rank(seed, candidate.target())))
                 .map(Candidate::target);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/routing/RandomPolicy.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/RandomPolicy.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.tamaracktrack.core.id.TargetId;
 
-/** Any candidate with equal probability: a baseline. */
+/** Selects any candidate with equal probability. Serves as a baseline for comparisons. */
 public final class RandomPolicy implements RoutingPolicy {
     private static final RandomPolicy INSTANCE = new RandomPolicy();
 
@@ -23,6 +23,6 @@
     public Optional<TargetId> choose(RoutingQuery query, List<Candidate> candidates, long seed) {
         return candidates.isEmpty()
                 ? Optional.empty()
-                : Optional.of(candidates.get(Mixing.index(seed, candidates.size())).target());
+                : Optional.of(candidates.get(SeededHash.index(seed, candidates.size())).target());
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/routing/RoutingKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/RoutingKind.java
@@ -5,13 +5,13 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** The routing policies that a daemon may be started with. */
+/** Lists the routing policies that a daemon may be started with. */
 public enum RoutingKind {
-    /** Two random choices on estimated wait, with prefix affinity. */
+    /** The better of two random candidates by estimated wait, with prefix affinity. */
     ESTIMATED_WAIT("estimated-wait"),
     /** Any candidate, at random; a baseline. */
     RANDOM("random"),
-    /** The candidate with the fewest outstanding requests; a baseline. */
+    /** The candidate with the fewest outstanding attempts; a baseline. */
     FEWEST_OUTSTANDING("fewest-outstanding");
 
     private final String text;
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Returns the name in settings.
+     * Returns the name of the policy in settings.
      *
      * @return the name
      */
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Reads a name.
+     * Returns the kind of a name in settings.
      *
      * @param text the name in settings
      * @return the kind
-     * @throws TamaracktrackException with {@code INVALID_SETTINGS} when there is none of that name
+     * @throws TamaracktrackException with {@code INVALID_SETTINGS} when no policy has that name
      */
     public static RoutingKind of(String text) {
         Objects.requireNonNull(text, "text is null");
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Returns the policy.
+     * Returns the policy of this kind.
      *
      * @return the policy
      */
--- a/core/src/main/java/org/tamaracktrack/core/routing/RoutingQuery.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/RoutingQuery.java
@@ -9,13 +9,13 @@
 import org.tamaracktrack.core.id.ServiceId;
 
 /**
- * What an attempt needs of a target. Exactly one of model and service is present.
+ * Describes what an attempt needs of a target. Exactly one of model and service is present.
  *
- * @param requestClass the class whose wait counts
+ * @param requestClass the request class whose estimated wait is used
  * @param model the model
  * @param adapter the adapter of the model
- * @param service the plain service
- * @param prefix the hash of the prompt's prefix, when there is a prompt
+ * @param service the plain service; empty for a model call
+ * @param prefix the hash of the prompt's prefix; empty without a prompt
  */
 public record RoutingQuery(
         RequestClassId requestClass,
--- a/core/src/main/java/org/tamaracktrack/core/routing/RoutingTable.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/RoutingTable.java
@@ -19,76 +19,79 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.message.Message;
 
-/** What one entry daemon knows of the targets: the candidates of an attempt come from here. */
+/**
+ * Holds the state of the targets as known to one entry daemon, and returns the candidates of an
+ * attempt. The state is a set of hints and may be outdated.
+ */
 public final class RoutingTable {
-    private static final long OTHER_DATA_CENTRE_MILLIS = 4;
-    private static final double FIRST_SERVICE_MILLIS = 500;
-    private static final double SERVICE_WEIGHT = 0.1;
+    private static final long REMOTE_ROUND_TRIP_MILLIS = 4;
+    private static final double INITIAL_SERVICE_MILLIS = 500;
+    private static final double SERVICE_SMOOTHING_FACTOR = 0.1;
 
-    private final DataCentreId here;
-    private final Map<TargetId, Known> targets = new TreeMap<>();
-    private final Map<ModelId, Set<TargetId>> resident = new TreeMap<>();
-    private final Map<ModelId, Set<TargetId>> loading = new TreeMap<>();
-    private Map<ModelId, Set<TargetId>> planned = Map.of();
+    private final DataCentreId localDataCentre;
+    private final Map<TargetId, TargetState> targets = new TreeMap<>();
+    private final Map<ModelId, Set<TargetId>> residentTargets = new TreeMap<>();
+    private final Map<ModelId, Set<TargetId>> loadingTargets = new TreeMap<>();
+    private Map<ModelId, Set<TargetId>> plannedTargets = Map.of();
 
-    private RoutingTable(DataCentreId here) {
-        this.here = here;
+    private RoutingTable(DataCentreId localDataCentre) {
+        this.localDataCentre = localDataCentre;
     }
 
     /**
      * Returns an empty table.
      *
-     * @param here the data centre of the daemon
+     * @param localDataCentre the data centre of the daemon
      * @return the table
      */
-    public static RoutingTable empty(DataCentreId here) {
-        Objects.requireNonNull(here, "here is null");
-        return new RoutingTable(here);
+    public static RoutingTable empty(DataCentreId localDataCentre) {
+        Objects.requireNonNull(localDataCentre, "here is null");
+        return new RoutingTable(localDataCentre);
     }
 
-    private static final class Known {
+    private static final class TargetState {
         private Configuration.Target target;
         private Optional<Message.Load> load = Optional.empty();
-        private long heardAtMillis;
+        private long loadReceivedMillis;
         private int outstanding;
-        private int sentSinceHeard;
-        private double serviceMillis = FIRST_SERVICE_MILLIS;
+        private int sentSinceLoad;
+        private double serviceMillis = INITIAL_SERVICE_MILLIS;
 
-        private Known(Configuration.Target target) {
+        private TargetState(Configuration.Target target) {
             this.target = target;
         }
     }
 
     /**
-     * A configuration is in force.
+     * Applies a configuration: adds, updates, and removes targets.
      *
      * @param configuration the configuration
      */
-    public void configure(Configuration configuration) {
+    public void applyConfiguration(Configuration configuration) {
         Objects.requireNonNull(configuration, "configuration is null");
-        Set<TargetId> gone = new TreeSet<>(targets.keySet());
-        gone.removeAll(configuration.targets().keySet());
-        gone.forEach(this::remove);
+        Set<TargetId> removed = new TreeSet<>(targets.keySet());
+        removed.removeAll(configuration.targets().keySet());
+        removed.forEach(this::remove);
         configuration
                 .targets()
                 .forEach(
                         (id, target) ->
-                                targets.computeIfAbsent(id, key -> new Known(target)).target =
+                                targets.computeIfAbsent(id, key -> new TargetState(target)).target =
                                         target);
     }
 
     private void remove(TargetId target) {
-        forget(target);
+        clearLoad(target);
         targets.remove(target);
     }
 
     /**
-     * A placement plan is in force.
+     * Applies a placement plan, which replaces the former one.
      *
      * @param placements its placements
      */
-    public void plan(Collection<LogEntry.Placement> placements) {
-        planned =
+    public void applyPlan(Collection<LogEntry.Placement> placements) {
+        plannedTargets =
                 placements.stream()
                         .collect(
                                 Collectors.groupingBy(
@@ -100,26 +103,31 @@
     }
 
     /**
-     * A target reported its load.
+     * Records the load that a target reported. A load with a lower sequence number than the last
+     * one is ignored.
      *
      * @param load the load
-     * @param nowMillis the time
+     * @param nowMillis the monotonic time in milliseconds
      */
-    public void heard(Message.Load load, long nowMillis) {
+    public void recordLoad(Message.Load load, long nowMillis) {
         Objects.requireNonNull(load, "load is null");
-        Known known = targets.get(load.target());
-        if (known == null || isOlder(load, known)) {
+        TargetState state = targets.get(load.target());
+        if (state == null || isOlder(load, state)) {
             return;
         }
-        index(resident, known.load.map(Message.Load::resident), load.resident(), load.target());
-        index(loading, known.load.map(Message.Load::loading), load.loading(), load.target());
-        known.load = Optional.of(load);
-        known.heardAtMillis = nowMillis;
-        known.sentSinceHeard = 0;
+        index(
+                residentTargets,
+                state.load.map(Message.Load::resident),
+                load.resident(),
+                load.target());
+        index(loadingTargets, state.load.map(Message.Load::loading), load.loading(), load.target());
+        state.load = Optional.of(load);
+        state.loadReceivedMillis = nowMillis;
+        state.sentSinceLoad = 0;
     }
 
-    private static boolean isOlder(Message.Load load, Known known) {
-        return known.load.filter(last -> last.sequence() > load.sequence()).isPresent();
+    private static boolean isOlder(Message.Load load, TargetState state) {
+        return state.load.filter(last -> last.sequence() > load.sequence()).isPresent();
     }
 
     private static void index(
@@ -137,68 +145,69 @@
     }
 
     /**
-     * The connection to a target closed: what it said of itself holds no longer.
+     * Discards the load of a target whose connection closed, since it is no longer valid.
      *
      * @param target the target
      */
-    public void forget(TargetId target) {
-        Known known = targets.get(target);
-        if (known == null) {
+    public void clearLoad(TargetId target) {
+        TargetState state = targets.get(target);
+        if (state == null) {
             return;
         }
-        index(resident, known.load.map(Message.Load::resident), List.of(), target);
-        index(loading, known.load.map(Message.Load::loading), List.of(), target);
-        known.load = Optional.empty();
-        known.sentSinceHeard = 0;
+        index(residentTargets, state.load.map(Message.Load::resident), List.of(), target);
+        index(loadingTargets, state.load.map(Message.Load::loading), List.of(), target);
+        state.load = Optional.empty();
+        state.sentSinceLoad = 0;
     }
 
     /**
-     * An attempt was sent.
+     * Records that an attempt was sent.
      *
-     * @param target where to
+     * @param target the target of the attempt
      */
-    public void sent(TargetId target) {
-        Known known = targets.get(target);
-        if (known != null) {
-            known.outstanding++;
-            known.sentSinceHeard++;
+    public void recordSent(TargetId target) {
+        TargetState state = targets.get(target);
+        if (state != null) {
+            state.outstanding++;
+            state.sentSinceLoad++;
         }
     }
 
     /**
-     * An attempt that had been sent ended.
+     * Records that an attempt ended that had been sent.
      *
-     * @param target where it was
+     * @param target the target of the attempt
      */
-    public void ended(TargetId target) {
-        Known known = targets.get(target);
-        if (known != null) {
-            known.outstanding = Math.max(0, known.outstanding - 1);
+    public void recordEnded(TargetId target) {
+        TargetState state = targets.get(target);
+        if (state != null) {
+            state.outstanding = Math.max(0, state.outstanding - 1);
         }
     }
 
     /**
-     * An attempt ended with a whole answer.
+     * Records that an attempt ended with a complete answer.
      *
-     * @param target where it was
-     * @param runMillis how long it ran, without its wait
+     * @param target the target of the attempt
+     * @param runMillis the time that it ran in milliseconds, without its wait
      */
-    public void served(TargetId target, long runMillis) {
-        Known known = targets.get(target);
-        if (known != null) {
-            known.serviceMillis += SERVICE_WEIGHT * (runMillis - known.serviceMillis);
+    public void recordServed(TargetId target, long runMillis) {
+        TargetState state = targets.get(target);
+        if (state != null) {
+            state.serviceMillis += SERVICE_SMOOTHING_FACTOR * (runMillis - state.serviceMillis);
         }
     }
 
     /**
-     * Returns the candidates of an attempt: targets where the model is in memory; else where it is
-     * being loaded or is planned to be; else any that could load it.
+     * Returns the candidates of an attempt. These are the usable targets that have the model in
+     * memory; if there are none, those that are loading it; if there are none, those where it is
+     * planned; otherwise all engines. For a plain service, these are its usable targets.
      *
-     * @param query what is asked for
-     * @param usable whether a target may get new work
-     * @param tried targets that have had an attempt
-     * @param nowMillis the time
-     * @return the candidates, by name
+     * @param query what the attempt needs
+     * @param usable whether a target may receive new requests
+     * @param tried the targets that have already had an attempt, which are excluded
+     * @param nowMillis the monotonic time in milliseconds
+     * @return the candidates, sorted by name
      */
     public List<Candidate> candidates(
             RoutingQuery query, Predicate<TargetId> usable, Set<TargetId> tried, long nowMillis) {
@@ -220,21 +229,24 @@
                 .collect(Collectors.toList());
     }
 
-    // A request that its busy homes refused would, at a target without the model, cost a load and
-    // evict what was planned there, just when there is too much to do; where copies go is the
-    // plan's business. Without a plan for the model nobody else would make a second copy.
+    // When the planned targets of a model refuse a request because they are busy, the request must
+    // not go to a target without the model. It would cost a load there and evict a planned model
+    // under high load. The plan decides where replicas are placed. Without a plan for the model,
+    // nothing else would create a second replica.
     private List<TargetId> modelTargets(
             ModelId model, Predicate<TargetId> usable, Set<TargetId> tried) {
-        Predicate<TargetId> candidate =
-                planned.containsKey(model) ? usable : usable.and(target -> !tried.contains(target));
-        return Stream.of(resident, loading, planned)
-                .map(index -> known(index, model, candidate))
-                .filter(homes -> !homes.isEmpty())
+        Predicate<TargetId> eligible =
+                plannedTargets.containsKey(model)
+                        ? usable
+                        : usable.and(target -> !tried.contains(target));
+        return Stream.of(residentTargets, loadingTargets, plannedTargets)
+                .map(index -> usableTargets(index, model, eligible))
+                .filter(found -> !found.isEmpty())
                 .findFirst()
-                .orElseGet(() -> engines(candidate));
+                .orElseGet(() -> engines(eligible));
     }
 
-    private List<TargetId> known(
+    private List<TargetId> usableTargets(
             Map<ModelId, Set<TargetId>> index, ModelId model, Predicate<TargetId> usable) {
         return index.getOrDefault(model, Set.of()).stream()
                 .filter(targets::containsKey)
@@ -251,22 +263,22 @@
     }
 
     private Candidate candidate(TargetId target, RoutingQuery query, long nowMillis) {
-        Known known = targets.get(target);
-        int reported = known.load.map(load -> load.running() + load.queued()).orElse(0);
+        TargetState state = targets.get(target);
+        int reported = state.load.map(load -> load.running() + load.queued()).orElse(0);
         boolean adapterResident =
                 query.adapter().isEmpty()
-                        || known.load
+                        || state.load
                                 .filter(load -> load.adapters().contains(query.adapter().get()))
                                 .isPresent();
         return new Candidate(
                 target,
                 adapterResident,
-                known.target.dataCentre().equals(here) ? 0 : OTHER_DATA_CENTRE_MILLIS,
-                Math.max(1, known.target.concurrency()),
-                known.load.map(load -> hint(load, query, nowMillis - known.heardAtMillis)),
-                known.outstanding,
-                Math.max(known.sentSinceHeard, known.outstanding - reported),
-                known.serviceMillis);
+                state.target.dataCentre().equals(localDataCentre) ? 0 : REMOTE_ROUND_TRIP_MILLIS,
+                Math.max(1, state.target.concurrency()),
+                state.load.map(load -> hint(load, query, nowMillis - state.loadReceivedMillis)),
+                state.outstanding,
+                Math.max(state.sentSinceLoad, state.outstanding - reported),
+                state.serviceMillis);
     }
 
     private static Candidate.Hint hint(Message.Load load, RoutingQuery query, long ageMillis) {
@@ -277,28 +289,28 @@
     }
 
     /**
-     * Returns the latest loads.
+     * Returns the latest load of each target that has reported one.
      *
-     * @param nowMillis the time
+     * @param nowMillis the monotonic time in milliseconds
      * @return load and age by target
      */
-    public Map<TargetId, Heard> loads(long nowMillis) {
+    public Map<TargetId, ReportedLoad> loads(long nowMillis) {
         return targets.entrySet().stream()
                 .filter(entry -> entry.getValue().load.isPresent())
                 .collect(
                         Collectors.toMap(
                                 Map.Entry::getKey,
                                 entry ->
-                                        new Heard(
+                                        new ReportedLoad(
                                                 entry.getValue().load.get(),
-                                                nowMillis - entry.getValue().heardAtMillis)));
+                                                nowMillis - entry.getValue().loadReceivedMillis)));
     }
 
     /**
-     * A target's latest load.
+     * Holds the latest load of a target.
      *
      * @param load the load
-     * @param ageMillis how long ago it arrived
+     * @param ageMillis its age in milliseconds, counted from its arrival
      */
-    public record Heard(Message.Load load, long ageMillis) {}
+    public record ReportedLoad(Message.Load load, long ageMillis) {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/routing/Mixing.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/SeededHash.java
@@ -2,13 +2,13 @@
 
 import org.tamaracktrack.core.id.TargetId;
 
-/** Mixes seeds and names into numbers that look random, without a random source. */
-final class Mixing {
+/** Derives pseudo-random numbers from seeds and names, without a random source. */
+final class SeededHash {
     private static final long FIRST_FACTOR = 0xbf58476d1ce4e5b9L;
     private static final long SECOND_FACTOR = 0x94d049bb133111ebL;
     private static final long STEP = 0x9e3779b97f4a7c15L;
 
-    private Mixing() {}
+    private SeededHash() {}
 
     static long mix(long value) {
         long mixed = value + STEP;
--- a/core/src/main/java/org/tamaracktrack/core/routing/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which target an attempt goes to. Entry daemons hold hints and no authority: a wrong choice costs
- * a definite refusal and another attempt, never a wrong answer.
+ * Selects the target of an attempt. Entry daemons act on hints, which may be outdated. A wrong
+ * choice leads to a definite refusal and another attempt, never to a wrong answer.
  */
 package org.tamaracktrack.core.routing;
--- a/core/src/test/java/org/tamaracktrack/core/copies/AdapterPlannerTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/AdapterPlannerTest.java
@@ -2,28 +2,27 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.core.fleet.TargetEntries;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.fleet.Targets;
 import org.tamaracktrack.core.id.AdapterId;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.route.EngineSpecification;
 import org.tamaracktrack.core.route.ModelSpecification;
 
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
-import java.util.stream.Stream;
-
 /** Covers a model whose requests name one of many adapters, on engines with few adapter slots. */
 class AdapterPlannerTest {
     private static final int ADAPTER_SLOTS = 2;
@@ -49,7 +48,7 @@
     }
 
     private EngineTracker engine(String name, String... held) {
-        EngineTracker tracker = EngineTracker.of(Targets.HOME);
+        EngineTracker tracker = EngineTracker.of(TargetEntries.HOME);
         List<HeldModel> models = List.of(new HeldModel(MODEL, Set.copyOf(adapters(held))));
         tracker.applyReport(
                 new EngineReport(
@@ -57,7 +56,7 @@
                         false,
                         0,
                         0,
-                        TargetEntry.byModel(models),
+                        TargetEntry.indexByModel(models),
                         Set.of(),
                         Set.of(),
                         Set.of(MODEL)),
--- a/core/src/test/java/org/tamaracktrack/core/copies/EngineCapacityTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/EngineCapacityTest.java
@@ -6,7 +6,6 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-
 import org.junit.jupiter.api.Test;
 
 class EngineCapacityTest {
--- a/core/src/test/java/org/tamaracktrack/core/copies/EngineLoadsTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/EngineLoadsTest.java
@@ -2,21 +2,19 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.TargetId;
 
-import java.util.List;
-import java.util.Map;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
-
 /**
  * Covers two models with most of the requests and others with a few each, on a handful of engines.
  */
--- a/core/src/test/java/org/tamaracktrack/core/copies/EngineTrackerTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/EngineTrackerTest.java
@@ -2,33 +2,31 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Group;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
-
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.fleet.HeldModel;
+import org.tamaracktrack.core.fleet.TargetEntries;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.fleet.Targets;
 import org.tamaracktrack.core.id.AdapterId;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.TargetId;
 
-import java.util.HashMap;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.SplittableRandom;
-
 class EngineTrackerTest {
     private static final TargetIncarnation ENGINE = new TargetIncarnation(TargetId.of("engine"), 0);
     private static final ModelId HELD = ModelId.of("held");
     private static final ModelId NEXT = ModelId.of("next");
 
-    private final EngineTracker tracker = EngineTracker.of(Targets.HOME);
+    private final EngineTracker tracker = EngineTracker.of(TargetEntries.HOME);
 
     private static EngineReport report(long orders, boolean busy, ModelId... models) {
         Map<ModelId, HeldModel> held = new HashMap<>();
@@ -168,7 +166,7 @@
         void shouldBecomeAvailableAgainWhenTheEngineAnswers(
                 @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
             SplittableRandom random = new SplittableRandom(seed);
-            EngineTracker faulty = EngineTracker.of(Targets.HOME);
+            EngineTracker faulty = EngineTracker.of(TargetEntries.HOME);
             long orders = 4;
             long nowMillis = 0;
             faulty.applyReport(report(orders, false, HELD), nowMillis);
--- a/core/src/test/java/org/tamaracktrack/core/copies/PeakDemandTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/PeakDemandTest.java
@@ -2,11 +2,10 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.id.ModelId;
 
-import java.util.Map;
-
 class PeakDemandTest {
     private static final ModelId FIRST = ModelId.of("first");
     private static final ModelId SECOND = ModelId.of("second");
--- a/core/src/test/java/org/tamaracktrack/core/copies/ReplicaPlannerTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/ReplicaPlannerTest.java
@@ -2,17 +2,6 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import org.junit.jupiter.api.Nested;
-import org.junit.jupiter.api.Test;
-import org.tamaracktrack.core.fleet.HeldModel;
-import org.tamaracktrack.core.fleet.TargetEntry;
-import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.fleet.Targets;
-import org.tamaracktrack.core.id.ModelId;
-import org.tamaracktrack.core.id.TargetId;
-import org.tamaracktrack.core.route.EngineSpecification;
-import org.tamaracktrack.core.route.ModelSpecification;
-
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -22,6 +11,16 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.tamaracktrack.core.fleet.HeldModel;
+import org.tamaracktrack.core.fleet.TargetEntries;
+import org.tamaracktrack.core.fleet.TargetEntry;
+import org.tamaracktrack.core.fleet.TargetIncarnation;
+import org.tamaracktrack.core.id.ModelId;
+import org.tamaracktrack.core.id.TargetId;
+import org.tamaracktrack.core.route.EngineSpecification;
+import org.tamaracktrack.core.route.ModelSpecification;
 
 /**
  * Covers demand in which a few models receive most requests and these models change within seconds,
@@ -42,7 +41,7 @@
     private int urgencyLookups;
 
     private EngineTracker engine(String name, List<String> locallyAvailable, String... models) {
-        EngineTracker tracker = EngineTracker.of(Targets.HOME);
+        EngineTracker tracker = EngineTracker.of(TargetEntries.HOME);
         List<HeldModel> held =
                 Arrays.stream(models)
                         .map(model -> new HeldModel(ModelId.of(model), Set.of()))
@@ -53,7 +52,7 @@
                         .collect(Collectors.toSet());
         tracker.applyReport(
                 new EngineReport(
-                        0, false, 0, 0, TargetEntry.byModel(held), Set.of(), Set.of(), onDisk),
+                        0, false, 0, 0, TargetEntry.indexByModel(held), Set.of(), Set.of(), onDisk),
                 0);
         engines.put(new TargetIncarnation(TargetId.of(name), 0), tracker);
         return tracker;
--- a/core/src/test/java/org/tamaracktrack/core/copies/StoreLoadLimiterTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/copies/StoreLoadLimiterTest.java
@@ -2,14 +2,13 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import java.util.ArrayList;
+import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-import java.util.ArrayList;
-import java.util.List;
-
 class StoreLoadLimiterTest {
 
     @Property(seed = "95", tries = 50)
--- a/core/src/test/java/org/tamaracktrack/core/delay/SchedulingDelayTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/delay/SchedulingDelayTest.java
@@ -13,27 +13,27 @@
     private final SchedulingDelay delay = SchedulingDelay.of(100, 250, START);
 
     @Nested
-    class Beats {
+    class Ticks {
 
-        // Guards against a thread that is called late when it ran early or in time.
+        // Guards against reporting a thread as late that ran early or on time.
         @Test
-        void shouldNotBeLateWhenTheBeatRunsWhenItIsDue() {
-            assertThat(delay.beat(DUE)).isEqualTo(0);
-            assertThat(delay.beat(DUE + 50)).isEqualTo(0);
+        void shouldNotBeLateWhenTheTickRunsWhenItIsDue() {
+            assertThat(delay.recordTick(DUE)).isEqualTo(0);
+            assertThat(delay.recordTick(DUE + 50)).isEqualTo(0);
         }
 
-        // Guards against a delay that is counted from the beat before.
+        // Guards against measuring the delay from the previous tick.
         @Test
-        void shouldCountFromWhenItWasDueWhenABeatIsLate() {
-            assertThat(delay.beat(DUE + 40)).isEqualTo(40);
-            assertThat(delay.beat(DUE + 40 + 100 + 7)).isEqualTo(7);
+        void shouldMeasureFromTheDueTimeWhenATickIsLate() {
+            assertThat(delay.recordTick(DUE + 40)).isEqualTo(40);
+            assertThat(delay.recordTick(DUE + 40 + 100 + 7)).isEqualTo(7);
         }
 
-        // Guards against a longest delay that is shown for ever, or for less than it was.
+        // Guards against reporting the longest delay more than once or too short.
         @Test
-        void shouldTellTheLongestOnceWhenItIsTaken() {
-            delay.beat(DUE + 300);
-            delay.beat(DUE + 400);
+        void shouldResetTheLongestDelayWhenItIsTaken() {
+            delay.recordTick(DUE + 300);
+            delay.recordTick(DUE + 400);
 
             assertThat(delay.takeLongestMillis()).isEqualTo(300);
             assertThat(delay.takeLongestMillis()).isEqualTo(0);
@@ -41,118 +41,118 @@
     }
 
     @Nested
-    class Now {
+    class OverdueTick {
 
-        // Guards against a usual pause that makes an outage go unnoticed.
+        // Guards against missing an outage because of a usual pause of the thread.
         @Test
-        void shouldBePunctualWhenTheNextBeatIsLateByExactlyWhatIsAllowed() {
-            assertThat(delay.punctualSince(START, DUE + 50 + 250)).isTrue();
+        void shouldBeOnTimeWhenTheNextTickIsLateByExactlyTheAllowedDelay() {
+            assertThat(delay.onTimeSince(START, DUE + 50 + 250)).isTrue();
         }
 
-        // Guards against a thread that hangs still and is called punctual until it runs again.
+        // Guards against reporting a blocked thread as on time until it runs again.
         @Test
-        void shouldNotBePunctualWhenTheNextBeatIsLateNow() {
-            assertThat(delay.punctualSince(START, DUE + 50 + 251)).isFalse();
+        void shouldNotBeOnTimeWhenTheNextTickIsOverdue() {
+            assertThat(delay.onTimeSince(START, DUE + 50 + 251)).isFalse();
         }
 
-        // Guards against a delay before the question that counts against what came after.
+        // Guards against counting a delay from before the start time.
         @Test
-        void shouldCountFromTheMomentWhenTheThreadWasLateAlready() {
+        void shouldCountFromTheStartTimeWhenTheThreadWasAlreadyLate() {
             long asked = DUE + 2_000;
 
-            assertThat(delay.punctualSince(asked, asked + 250)).isTrue();
-            assertThat(delay.punctualSince(asked, asked + 251)).isFalse();
+            assertThat(delay.onTimeSince(asked, asked + 250)).isTrue();
+            assertThat(delay.onTimeSince(asked, asked + 251)).isFalse();
         }
     }
 
     @Nested
-    class Before {
+    class PastDelay {
         private static final long END = DUE + 1_000;
 
         @BeforeEach
         void runLate() {
-            delay.beat(END);
+            delay.recordTick(END);
         }
 
-        // Guards against a thread that was late once and never counts as punctual again.
+        // Guards against a thread that was late once and is never on time again.
         @Test
-        void shouldBePunctualWhenTheBeatWasLateBeforeTheMoment() {
-            assertThat(delay.punctualSince(END, END + 100)).isTrue();
-            assertThat(delay.punctualSince(END + 1, END + 100)).isTrue();
+        void shouldBeOnTimeWhenTheTickWasLateBeforeTheStartTime() {
+            assertThat(delay.onTimeSince(END, END + 100)).isTrue();
+            assertThat(delay.onTimeSince(END + 1, END + 100)).isTrue();
         }
 
-        // Guards against an answer that lay unread in a late thread and is called a lost one.
+        // Guards against treating an answer as lost that was waiting unread for a late thread.
         @Test
-        void shouldNotBePunctualWhenTheBeatWasLateAfterTheMoment() {
-            assertThat(delay.punctualSince(START, END)).isFalse();
-            assertThat(delay.punctualSince(DUE, END + 100)).isFalse();
+        void shouldNotBeOnTimeWhenTheTickWasLateAfterTheStartTime() {
+            assertThat(delay.onTimeSince(START, END)).isFalse();
+            assertThat(delay.onTimeSince(DUE, END + 100)).isFalse();
         }
 
-        // Guards against the wrong share of a delay that had begun at the moment.
+        // Guards against counting the wrong part of a delay that spans the start time.
         @Test
-        void shouldCountTheRestWhenTheBeatWasLateAcrossTheMoment() {
-            assertThat(delay.punctualSince(END - 250, END)).isTrue();
-            assertThat(delay.punctualSince(END - 251, END)).isFalse();
+        void shouldCountTheRemainderWhenTheDelaySpansTheStartTime() {
+            assertThat(delay.onTimeSince(END - 250, END)).isTrue();
+            assertThat(delay.onTimeSince(END - 251, END)).isFalse();
         }
 
-        // Guards against a late beat that the punctual one after it hides.
+        // Guards against a late tick that is hidden by a punctual one after it.
         @Test
-        void shouldRememberALateBeatWhenPunctualOnesFollow() {
-            delay.beat(END + 100);
-            delay.beat(END + 200);
+        void shouldKeepALateTickWhenPunctualOnesFollow() {
+            delay.recordTick(END + 100);
+            delay.recordTick(END + 200);
 
-            assertThat(delay.punctualSince(START, END + 200)).isFalse();
-            assertThat(delay.punctualSince(END, END + 200)).isTrue();
+            assertThat(delay.onTimeSince(START, END + 200)).isFalse();
+            assertThat(delay.onTimeSince(END, END + 200)).isTrue();
         }
 
-        // Guards against an earlier, longer delay that a later, shorter one hides.
+        // Guards against an earlier, longer delay that is hidden by a later, shorter one.
         @Test
-        void shouldRememberTheEarlierOfTwoLateBeatsWhenTheMomentIsBeforeBoth() {
+        void shouldKeepTheEarlierOfTwoLateTicksWhenTheStartTimeIsBeforeBoth() {
             long end = END + 100 + 50 + 251;
-            delay.beat(end);
+            delay.recordTick(end);
 
-            assertThat(delay.punctualSince(END, end)).isFalse();
-            assertThat(delay.punctualSince(end - 250, end)).isTrue();
-            assertThat(delay.punctualSince(START, end)).isFalse();
+            assertThat(delay.onTimeSince(END, end)).isFalse();
+            assertThat(delay.onTimeSince(end - 250, end)).isTrue();
+            assertThat(delay.onTimeSince(START, end)).isFalse();
         }
     }
 
     @Nested
     class ManyShortDelays {
 
-        // Guards against a thread that is late by short steps, each below what is allowed at once.
+        // Guards against missing a series of short delays, each below the allowed delay.
         @Test
-        void shouldNotBePunctualWhenDelaysThatAreShortEachAreLongInAll() {
-            delay.beat(DUE + 250);
-            assertThat(delay.punctualSince(START, DUE + 250)).isTrue();
+        void shouldNotBeOnTimeWhenShortDelaysAddUpToALongOne() {
+            delay.recordTick(DUE + 250);
+            assertThat(delay.onTimeSince(START, DUE + 250)).isTrue();
 
-            delay.beat(DUE + 250 + 100 + 250);
+            delay.recordTick(DUE + 250 + 100 + 250);
 
-            assertThat(delay.punctualSince(START, DUE + 600)).isFalse();
-            assertThat(delay.punctualSince(DUE + 250, DUE + 600)).isTrue();
+            assertThat(delay.onTimeSince(START, DUE + 600)).isFalse();
+            assertThat(delay.onTimeSince(DUE + 250, DUE + 600)).isTrue();
         }
 
-        // Guards against a sum that leaves out the beat that is late now, or is off by one.
+        // Guards against a sum that omits the overdue tick or is off by one.
         @Test
-        void shouldAddTheBeatThatIsLateNowWhenAnotherWasLate() {
+        void shouldAddTheOverdueTickWhenAnotherWasLate() {
             long end = DUE + 50 + 150;
-            delay.beat(end);
+            delay.recordTick(end);
             long due = end + 100;
 
-            assertThat(delay.punctualSince(START, due + 50 + 100)).isTrue();
-            assertThat(delay.punctualSince(START, due + 50 + 101)).isFalse();
+            assertThat(delay.onTimeSince(START, due + 50 + 100)).isTrue();
+            assertThat(delay.onTimeSince(START, due + 50 + 101)).isFalse();
         }
 
-        // Guards against timers that fire as late as they usually do and make an outage unnoticed.
+        // Guards against missing an outage because timers fire as late as they usually do.
         @Test
-        void shouldBePunctualWhenEachOfManyBeatsIsLateByWhatIsUsual() {
+        void shouldBeOnTimeWhenEachOfManyTicksIsLateByTheToleratedDelay() {
             long now = START;
-            for (int beat = 0; beat < 60; beat++) {
+            for (int tick = 0; tick < 60; tick++) {
                 now += 100 + 50;
-                delay.beat(now);
+                delay.recordTick(now);
             }
 
-            assertThat(delay.punctualSince(START, now)).isTrue();
+            assertThat(delay.onTimeSince(START, now)).isTrue();
         }
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/dispatch/TargetChooserTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/dispatch/TargetChooserTest.java
@@ -8,21 +8,21 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
+import org.tamaracktrack.core.fleet.TargetEntries;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.fleet.Targets;
 import org.tamaracktrack.core.id.TargetId;
 
 class TargetChooserTest {
     private static final long NOW = 10_000;
 
-    private final TargetChooser chooser = TargetChooser.of(Targets.HOME);
+    private final TargetChooser chooser = TargetChooser.of(TargetEntries.HOME);
     private final Map<TargetIncarnation, TargetLoad> loads = new HashMap<>();
-    private final Fleet fleet =
-            Targets.fleet(
-                    Targets.engine("near", Targets.HOME, "model"),
-                    Targets.engine("far", Targets.AWAY, "model"),
-                    Targets.engine("without", Targets.HOME, "other"));
+    private final FleetSnapshot fleet =
+            TargetEntries.fleet(
+                    TargetEntries.engine("near", TargetEntries.HOME, "model"),
+                    TargetEntries.engine("far", TargetEntries.AWAY, "model"),
+                    TargetEntries.engine("without", TargetEntries.HOME, "other"));
 
     private TargetLoad load(String target) {
         return loads.computeIfAbsent(
@@ -30,7 +30,11 @@
     }
 
     private static Work work(PromptPart... parts) {
-        return new Work(Targets.ENGINES, Optional.of(Targets.need("model")), 1_460, List.of(parts));
+        return new Work(
+                TargetEntries.ENGINES,
+                Optional.of(TargetEntries.need("model")),
+                1_460,
+                List.of(parts));
     }
 
     private Optional<String> choose(Work work, List<TargetId> tried) {
@@ -95,7 +99,7 @@
         // Guards against requests that are refused although an engine would begin them at once.
         @Test
         void shouldNotTakeACrowdedEngineForOneThatBeginsLate() {
-            int slots = Targets.engine("near", Targets.HOME, "model").slots();
+            int slots = TargetEntries.engine("near", TargetEntries.HOME, "model").slots();
             load("near").report(new ReportedLoad(slots, 0), NOW);
 
             TargetChooser.Choice choice =
--- a/core/src/test/java/org/tamaracktrack/core/dispatch/VirtualFleet.java
+++ b/core/src/test/java/org/tamaracktrack/core/dispatch/VirtualFleet.java
@@ -13,12 +13,12 @@
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.TargetAddress;
+import org.tamaracktrack.core.fleet.TargetEntries;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
-import org.tamaracktrack.core.fleet.Targets;
 import org.tamaracktrack.core.id.DataCentreId;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.TargetId;
@@ -48,7 +48,7 @@
     private final Size size;
     private final SplittableRandom random;
     private final SplittableRandom choices;
-    private final Fleet fleet;
+    private final FleetSnapshot fleet;
     private final List<Daemon> daemons;
     private final Map<TargetIncarnation, Engine> engines = new HashMap<>();
     private final PriorityQueue<Engine> steps =
@@ -137,8 +137,8 @@
         void dispatch(ModelId model, int promptTokens, int answerTokens, long nowMillis) {
             Work work =
                     new Work(
-                            Targets.ENGINES,
-                            Optional.of(Targets.need(model.value())),
+                            TargetEntries.ENGINES,
+                            Optional.of(TargetEntries.need(model.value())),
                             promptTokens,
                             List.of());
             TargetChooser.Choice choice =
@@ -274,7 +274,7 @@
                 daemons.stream().collect(Collectors.toMap(daemon -> daemon.self, daemon -> daemon));
         daemons.forEach(daemon -> daemon.meet(all));
         this.fleet =
-                Fleet.of(
+                FleetSnapshot.of(
                         IntStream.range(0, size.engines())
                                 .mapToObj(this::entry)
                                 .collect(
@@ -301,13 +301,13 @@
                         .collect(Collectors.toList());
         return new TargetEntry(
                 new TargetIncarnation(TargetId.of("engine-" + index), 0),
-                Targets.ENGINES,
+                TargetEntries.ENGINES,
                 new TargetAddress("10.0.0.1", 80),
                 place(index),
                 size.slots(),
                 false,
                 1,
-                TargetEntry.byModel(held),
+                TargetEntry.indexByModel(held),
                 Set.of(),
                 Set.of());
     }
--- a/core/src/test/java/org/tamaracktrack/core/fleet/Targets.java
+++ b/core/src/test/java/org/tamaracktrack/core/fleet/TargetEntries.java
@@ -10,16 +10,16 @@
 import org.tamaracktrack.core.id.ServiceId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** Registry entries for tests. */
-public final class Targets {
+/** Creates registry entries for tests. */
+public final class TargetEntries {
     public static final ServiceId ENGINES = ServiceId.of("engines");
     public static final DataCentreId HOME = DataCentreId.of("home");
     public static final DataCentreId AWAY = DataCentreId.of("away");
 
-    private Targets() {}
+    private TargetEntries() {}
 
-    public static TargetEntry engine(String name, DataCentreId place, String... models) {
-        return entry(name, 0, 1, false, place, models);
+    public static TargetEntry engine(String name, DataCentreId dataCentre, String... models) {
+        return entry(name, 0, 1, false, dataCentre, models);
     }
 
     public static TargetEntry entry(
@@ -27,17 +27,17 @@
             long started,
             long revision,
             boolean leaving,
-            DataCentreId place,
+            DataCentreId dataCentre,
             String... models) {
         return new TargetEntry(
                 new TargetIncarnation(TargetId.of(name), started),
                 ENGINES,
                 new TargetAddress("10.0.0.1", 80),
-                place,
+                dataCentre,
                 64,
                 leaving,
                 revision,
-                TargetEntry.byModel(
+                TargetEntry.indexByModel(
                         Arrays.stream(models)
                                 .map(model -> new HeldModel(ModelId.of(model), Set.of()))
                                 .collect(Collectors.toList())),
@@ -45,13 +45,13 @@
                 Set.of());
     }
 
-    public static Fleet fleet(TargetEntry... entries) {
+    public static FleetSnapshot fleet(TargetEntry... entries) {
         Map<TargetId, TargetEntry> byTarget =
                 Arrays.stream(entries)
                         .collect(
                                 Collectors.toMap(
                                         entry -> entry.incarnation().target(), entry -> entry));
-        return Fleet.of(byTarget);
+        return FleetSnapshot.of(byTarget);
     }
 
     public static ModelNeed need(String model) {
--- a/core/src/test/java/org/tamaracktrack/core/knowledge/VirtualDaemon.java
+++ b/core/src/test/java/org/tamaracktrack/core/knowledge/VirtualDaemon.java
@@ -243,18 +243,18 @@
     }
 
     private void beatControl() {
-        controlDelay.beat(steadyMillis());
+        controlDelay.recordTick(steadyMillis());
         controlAfter(BEAT_MILLIS, this::beatControl);
     }
 
     private void beatTraffic() {
-        trafficDelay.beat(steadyMillis());
+        trafficDelay.recordTick(steadyMillis());
         trafficAfter(BEAT_MILLIS, this::beatTraffic);
     }
 
     private boolean punctualSince(long sinceMillis) {
-        return controlDelay.punctualSince(sinceMillis, steadyMillis())
-                && trafficDelay.punctualSince(sinceMillis, steadyMillis());
+        return controlDelay.onTimeSince(sinceMillis, steadyMillis())
+                && trafficDelay.onTimeSince(sinceMillis, steadyMillis());
     }
 
     private void later(Runnable task) {
--- a/core/src/test/java/org/tamaracktrack/core/route/RouteTableTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/route/RouteTableTest.java
@@ -38,7 +38,7 @@
                                 route("other", "b.example", "/orders/open/now/")));
 
         @Test
-        void shouldChooseTheLongestPrefixOfTheHostWhenSeveralMatch() {
+        void shouldSelectTheLongestPrefixOfTheHostWhenSeveralMatch() {
             assertThat(table.find("a.example", "/orders/open/now/7").orElseThrow().name())
                     .isEqualTo("open");
             assertThat(table.find("a.example", "/orders/7").orElseThrow().name())
@@ -54,10 +54,10 @@
     }
 
     @Nested
-    class Split {
+    class WeightedSplit {
 
         @Test
-        void shouldSendRequestsInProportionToWeightsWhenSplit() {
+        void shouldSelectServicesInProportionToTheirWeights() {
             ServiceId rare = ServiceId.of("rare");
             Route split =
                     route(
@@ -76,7 +76,7 @@
         }
 
         @Test
-        void shouldChooseAServiceWhenAllWeightsAreZero() {
+        void shouldSelectAServiceWhenAllWeightsAreZero() {
             Route split = route("zero", "a.example", "/", new WeightedService(SERVICE, 0));
 
             assertThat(split.service(0.5)).isEqualTo(SERVICE);
--- a/core/src/test/java/org/tamaracktrack/core/routing/EstimatedWaitPolicyTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/routing/EstimatedWaitPolicyTest.java
@@ -50,7 +50,7 @@
     }
 
     @Property(seed = "11")
-    void shouldChooseOneOfTheCandidatesAndTheSameOneForTheSameSeed(
+    void shouldSelectOneOfTheCandidatesAndTheSameOneForTheSameSeed(
             @ForAll @IntRange(min = 1, max = 12) int count,
             @ForAll long seed,
             @ForAll boolean prefixed) {
@@ -67,12 +67,13 @@
     }
 
     @Test
-    void shouldChooseNothingWhenThereAreNoCandidates() {
+    void shouldSelectNothingWhenThereAreNoCandidates() {
         assertThat(POLICY.choose(query(OptionalLong.empty()), List.of(), 1)).isEmpty();
     }
 
-    // A target that fell silent when it was idle must not draw every request: its old report gives
-    // way to the mean, so fresh targets with short waits win over it.
+    // Guards against sending every request to a target that stopped reporting while it was idle.
+    // Its old report decays to the mean, so targets with recent reports of short waits are
+    // preferred.
     @Test
     void shouldPreferAFreshShortWaitWhenTheIdleReportIsOld() {
         List<Candidate> candidates = List.of(candidate(0, 0, 60_000, 0), candidate(1, 20, 10, 0));
@@ -81,10 +82,10 @@
                 .containsExactly(TargetId.of("t1"), 1_000L);
     }
 
-    // Every daemon sees the same idle target; with two random choices it gets no more than its
-    // part of the draws in which it takes part.
+    // Guards against overloading a target that appears idle to every daemon. With two random
+    // choices it receives only requests whose draw includes it.
     @Test
-    void shouldNotSendEverythingToTheTargetThatLooksIdle() {
+    void shouldNotSendAllRequestsToTheTargetThatAppearsIdle() {
         List<Candidate> candidates =
                 IntStream.range(0, 10)
                         .mapToObj(number -> candidate(number, number == 0 ? 0 : 50, 0, 0))
@@ -103,7 +104,7 @@
     }
 
     @Test
-    void shouldStayInTheOwnDataCentreUntilItsWaitExceedsTheDistance() {
+    void shouldStayInTheLocalDataCentreUntilItsWaitExceedsTheDistance() {
         Candidate near = candidate(0, 30, 0, 0, 0);
 
         assertThat(choices(List.of(near, candidate(1, 28, 0, 0, 4)), query(OptionalLong.empty())))
@@ -113,45 +114,47 @@
     }
 
     @Test
-    void shouldKeepAPrefixOnOneHomeWhileItsLoadIsWithinTheBound() {
+    void shouldKeepAPrefixOnOneTargetWhileItsLoadIsWithinTheBound() {
         List<Candidate> even =
                 IntStream.range(0, 5)
                         .mapToObj(number -> candidate(number, 10, 0, 0))
                         .collect(Collectors.toList());
-        Map<TargetId, Long> home = choices(even, query(OptionalLong.of(77)));
-        assertThat(home).hasSize(1);
-        TargetId homeTarget = home.keySet().iterator().next();
+        Map<TargetId, Long> assigned = choices(even, query(OptionalLong.of(77)));
+        assertThat(assigned).hasSize(1);
+        TargetId assignedTarget = assigned.keySet().iterator().next();
 
         List<Candidate> loaded =
                 even.stream()
                         .map(
                                 each ->
-                                        each.target().equals(homeTarget)
+                                        each.target().equals(assignedTarget)
                                                 ? candidate(
                                                         Integer.parseInt(
-                                                                homeTarget.value().substring(1)),
+                                                                assignedTarget
+                                                                        .value()
+                                                                        .substring(1)),
                                                         2_000,
                                                         0,
                                                         0)
                                                 : each)
                         .collect(Collectors.toList());
-        assertThat(choices(loaded, query(OptionalLong.of(77)))).doesNotContainKey(homeTarget);
+        assertThat(choices(loaded, query(OptionalLong.of(77)))).doesNotContainKey(assignedTarget);
     }
 
-    // When a home goes, only the prefixes that lived there move.
+    // When a target leaves, only the prefixes that were assigned to it move.
     @Property(seed = "12", tries = 200)
-    void shouldMoveOnlyThePrefixesOfTheHomeThatLeft(@ForAll long prefix) {
+    void shouldMoveOnlyThePrefixesOfTheTargetThatLeft(@ForAll long prefix) {
         List<Candidate> five =
                 IntStream.range(0, 5)
                         .mapToObj(number -> candidate(number, 10, 0, 0))
                         .collect(Collectors.toList());
         RoutingQuery query = query(OptionalLong.of(prefix));
-        TargetId home = POLICY.choose(query, five, 1).orElseThrow();
+        TargetId assigned = POLICY.choose(query, five, 1).orElseThrow();
 
         TargetId after = POLICY.choose(query, five.subList(0, 4), 1).orElseThrow();
 
-        if (!home.equals(TargetId.of("t4"))) {
-            assertThat(after).isEqualTo(home);
+        if (!assigned.equals(TargetId.of("t4"))) {
+            assertThat(after).isEqualTo(assigned);
         }
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/routing/RoutingBenchmark.java
+++ b/core/src/test/java/org/tamaracktrack/core/routing/RoutingBenchmark.java
@@ -16,7 +16,10 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.message.Message;
 
-/** Measures one routing decision, candidates and choice, at three sizes of fleet. */
+/**
+ * Measures the time of one routing decision, from the candidates to the choice, for three fleet
+ * sizes.
+ */
 final class RoutingBenchmark {
     private static final RequestClassId CLASS = RequestClassId.of("interactive");
     private static final int MODELS_PER_TARGET = 4;
@@ -25,7 +28,9 @@
 
     private RoutingBenchmark() {}
 
-    /** Prints nanoseconds for each decision: with homes, and when nothing is resident. */
+    /**
+     * Prints the nanoseconds per decision, for resident models and for models that no target holds.
+     */
     public static void main(String[] arguments) {
         List.of(10, 100, 600).forEach(RoutingBenchmark::measure);
     }
@@ -33,11 +38,11 @@
     private static void measure(int targets) {
         RoutingTable table = table(targets);
         for (int round = 0; round < ROUNDS; round++) {
-            double homes = nanos(table, targets, "m");
-            double anywhere = nanos(table, targets, "absent-");
+            double residentNanos = nanos(table, targets, "m");
+            double absentNanos = nanos(table, targets, "absent-");
             System.out.printf(
                     "targets=%d round=%d homes_nanos=%.0f nowhere_resident_nanos=%.0f%n",
-                    targets, round, homes, anywhere);
+                    targets, round, residentNanos, absentNanos);
         }
     }
 
@@ -71,7 +76,7 @@
                 IntStream.range(0, count)
                         .mapToObj(RoutingBenchmark::target)
                         .collect(Collectors.toMap(Configuration.Target::id, Function.identity()));
-        table.configure(
+        table.applyConfiguration(
                 new Configuration(
                         1,
                         new Configuration.WeightStoreLimits(1, 1),
@@ -82,7 +87,8 @@
                         Map.of(),
                         targets,
                         Map.of()));
-        IntStream.range(0, count).forEach(number -> table.heard(load(number, count), number % 50));
+        IntStream.range(0, count)
+                .forEach(number -> table.recordLoad(load(number, count), number % 50));
         return table;
     }
 
--- a/core/src/test/java/org/tamaracktrack/core/routing/RoutingTableTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/routing/RoutingTableTest.java
@@ -23,7 +23,7 @@
 
 class RoutingTableTest {
     private static final ModelId MODEL = ModelId.of("m");
-    private static final TargetId HOME = TargetId.of("home");
+    private static final TargetId HOLDER = TargetId.of("home");
     private static final TargetId OTHER = TargetId.of("other");
 
     private final RoutingTable table = RoutingTable.empty(DataCentreId.of("quito-1"));
@@ -31,10 +31,10 @@
     @BeforeEach
     void configure() {
         Map<TargetId, Configuration.Target> targets =
-                Stream.of(HOME, OTHER)
+                Stream.of(HOLDER, OTHER)
                         .map(RoutingTableTest::target)
                         .collect(Collectors.toMap(Configuration.Target::id, Function.identity()));
-        table.configure(
+        table.applyConfiguration(
                 new Configuration(
                         1,
                         new Configuration.WeightStoreLimits(1, 1),
@@ -45,8 +45,8 @@
                         Map.of(),
                         targets,
                         Map.of()));
-        table.heard(load(HOME, List.of(MODEL)), 0);
-        table.heard(load(OTHER, List.of()), 0);
+        table.recordLoad(load(HOLDER, List.of(MODEL)), 0);
+        table.recordLoad(load(OTHER, List.of()), 0);
     }
 
     private static Configuration.Target target(TargetId id) {
@@ -79,33 +79,33 @@
     }
 
     private void plan() {
-        table.plan(List.of(new LogEntry.Placement(MODEL, HOME, List.of(), "home")));
+        table.applyPlan(List.of(new LogEntry.Placement(MODEL, HOLDER, List.of(), "home")));
     }
 
     @Test
-    void shouldOfferTheHomesOnlyWhenThereAreSome() {
-        assertThat(candidates(Set.of())).containsExactly(HOME);
+    void shouldReturnOnlyTargetsThatHoldTheModelWhenThereAreSome() {
+        assertThat(candidates(Set.of())).containsExactly(HOLDER);
     }
 
-    // The home had no room. Elsewhere the request would cost a load and evict what is planned
-    // there; the caller hears at once that there is no room.
+    // The planned target refused the request for lack of capacity. At another target the request
+    // would cost a load and evict a planned model, so it is refused immediately instead.
     @Test
-    void shouldOfferNoTargetWithoutTheModelWhenItsPlannedHomeRefused() {
+    void shouldReturnNoTargetWithoutTheModelWhenItsPlannedTargetRefused() {
         plan();
 
-        assertThat(candidates(Set.of(HOME))).isEmpty();
+        assertThat(candidates(Set.of(HOLDER))).isEmpty();
     }
 
     @Test
-    void shouldOfferATargetThatCouldLoadWhenThereIsNoPlanForTheModel() {
-        assertThat(candidates(Set.of(HOME))).containsExactly(OTHER);
+    void shouldReturnATargetThatCanLoadTheModelWhenThereIsNoPlanForIt() {
+        assertThat(candidates(Set.of(HOLDER))).containsExactly(OTHER);
     }
 
     @Test
-    void shouldOfferATargetThatCouldLoadWhenTheHomeIsLost() {
-        table.plan(List.of());
-        table.forget(HOME);
+    void shouldReturnTargetsThatCanLoadTheModelWhenTheLoadOfItsHolderIsDiscarded() {
+        table.applyPlan(List.of());
+        table.clearLoad(HOLDER);
 
-        assertThat(candidates(Set.of())).containsExactly(HOME, OTHER);
+        assertThat(candidates(Set.of())).containsExactly(HOLDER, OTHER);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
@@ -1,7 +1,11 @@
 package org.tamaracktrack.daemon.copies;
 
+import java.util.Objects;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 import org.tamaracktrack.core.copies.DemandTracker;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.lease.ConditionalLease;
 import org.tamaracktrack.core.route.ServingConfiguration;
 import org.tamaracktrack.daemon.relay.RecordRelay;
@@ -9,11 +13,6 @@
 import org.tamaracktrack.link.topic.TopicClient;
 import org.tamaracktrack.link.topic.TopicPart;
 
-import java.util.Objects;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
-
 /** The duty of placing copies, which one daemon has at a time. */
 public final class CopyDuty {
     private final LeaseDriver lease;
@@ -59,7 +58,7 @@
             EngineOrders orders,
             ControlThread control,
             Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter,
-            Consumer<Fleet> changed) {
+            Consumer<FleetSnapshot> changed) {
         Objects.requireNonNull(member, "member is null");
         ConditionalLease.Terms terms =
                 ConditionalLease.Terms.of(member.pauseMillis(), member.delayMillis());
@@ -102,7 +101,7 @@
      *
      * @param fleet the targets known now
      */
-    public void fleet(Fleet fleet) {
+    public void fleet(FleetSnapshot fleet) {
         giver.fleet(fleet);
         holdings.fleet(fleet);
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
@@ -1,14 +1,5 @@
 package org.tamaracktrack.daemon.copies;
 
-import org.tamaracktrack.core.copies.DemandTracker;
-import org.tamaracktrack.core.fleet.ModelNeed;
-import org.tamaracktrack.daemon.relay.RecordRelay;
-import org.tamaracktrack.daemon.runtime.ControlThread;
-import org.tamaracktrack.link.topic.RecordBatch;
-import org.tamaracktrack.link.topic.TopicAnswer;
-import org.tamaracktrack.link.topic.TopicClient;
-import org.tamaracktrack.link.topic.TopicPart;
-
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,6 +8,14 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
+import org.tamaracktrack.core.copies.DemandTracker;
+import org.tamaracktrack.core.fleet.ModelNeed;
+import org.tamaracktrack.daemon.relay.RecordRelay;
+import org.tamaracktrack.daemon.runtime.ControlThread;
+import org.tamaracktrack.link.topic.RecordBatch;
+import org.tamaracktrack.link.topic.TopicAnswer;
+import org.tamaracktrack.link.topic.TopicClient;
+import org.tamaracktrack.link.topic.TopicPart;
 
 /**
  * Brings what each daemon sees of demand to the one that gives orders: the others tell it, or
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
@@ -1,7 +1,11 @@
 package org.tamaracktrack.daemon.copies;
 
 import com.fasterxml.jackson.databind.JsonNode;
-
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.stream.Collectors;
 import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.fleet.HeldModel;
@@ -14,12 +18,6 @@
 import org.tamaracktrack.core.lease.ConditionalLease.LeaseRecord;
 import org.tamaracktrack.link.codec.Trees;
 
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.stream.Collectors;
-
 /** The records of the duty's topic. */
 final class DutyRecords {
     private DutyRecords() {}
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/EngineOrders.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/EngineOrders.java
@@ -1,12 +1,11 @@
 package org.tamaracktrack.daemon.copies;
 
-import org.tamaracktrack.core.copies.EngineReport;
-import org.tamaracktrack.core.copies.PlacementOrder;
-import org.tamaracktrack.core.fleet.TargetEntry;
-
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
+import org.tamaracktrack.core.copies.EngineReport;
+import org.tamaracktrack.core.copies.PlacementOrder;
+import org.tamaracktrack.core.fleet.TargetEntry;
 
 /** Calls to engines about what they hold. Each is sent once. */
 public interface EngineOrders {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/HoldingsExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/HoldingsExchange.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.HeldModel;
-import org.tamaracktrack.core.fleet.Holdings;
+import org.tamaracktrack.core.fleet.ResidentModels;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.daemon.relay.RecordRelay;
@@ -26,15 +26,15 @@
 
     private final TopicPart part;
     private final RecordRelay relay;
-    private final Consumer<Fleet> changed;
+    private final Consumer<FleetSnapshot> changed;
     private final Map<TargetIncarnation, Map<ModelId, HeldModel>> published = new HashMap<>();
-    private Holdings holdings = Holdings.empty();
-    private Fleet registry = Fleet.empty();
+    private ResidentModels holdings = ResidentModels.empty();
+    private FleetSnapshot registry = FleetSnapshot.empty();
     private boolean newcomer;
     private boolean known;
     private boolean used;
 
-    private HoldingsExchange(TopicPart part, RecordRelay relay, Consumer<Fleet> changed) {
+    private HoldingsExchange(TopicPart part, RecordRelay relay, Consumer<FleetSnapshot> changed) {
         this.part = part;
         this.relay = relay;
         this.changed = changed;
@@ -49,7 +49,10 @@
      * @param changed takes the targets whenever what they hold has changed
      */
     static HoldingsExchange start(
-            TopicPart part, RecordRelay relay, ControlThread control, Consumer<Fleet> changed) {
+            TopicPart part,
+            RecordRelay relay,
+            ControlThread control,
+            Consumer<FleetSnapshot> changed) {
         HoldingsExchange exchange = new HoldingsExchange(part, relay, changed);
         control.post(
                 () -> {
@@ -71,7 +74,7 @@
 
         @Override
         public void onLost() {
-            holdings = Holdings.empty();
+            holdings = ResidentModels.empty();
             tell();
         }
     }
@@ -81,7 +84,7 @@
     }
 
     /** Takes the targets in as the registry has them. */
-    void fleet(Fleet newer) {
+    void fleet(FleetSnapshot newer) {
         registry = newer;
         known = true;
         tell();
@@ -90,7 +93,7 @@
     private void tell() {
         used = usable();
         if (known) {
-            changed.accept(used ? holdings.over(registry) : registry);
+            changed.accept(used ? holdings.applyTo(registry) : registry);
         }
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/OrderGiver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/OrderGiver.java
@@ -1,5 +1,13 @@
 package org.tamaracktrack.daemon.copies;
 
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Function;
+import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.copies.AdapterPlanner;
 import org.tamaracktrack.core.copies.DemandTracker;
@@ -11,7 +19,7 @@
 import org.tamaracktrack.core.copies.ReplicaPlanner;
 import org.tamaracktrack.core.copies.StoreLoadLimiter;
 import org.tamaracktrack.core.copies.UnansweredOrders;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.ModelNeed;
 import org.tamaracktrack.core.fleet.TargetEntry;
@@ -23,15 +31,6 @@
 import org.tamaracktrack.core.route.ServingConfiguration;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
-import java.util.EnumMap;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.Objects;
-import java.util.Optional;
-import java.util.Set;
-import java.util.function.Function;
-import java.util.stream.Collectors;
-
 /** Gives orders to the engines while this daemon has the lease. On the control thread. */
 final class OrderGiver {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.orders");
@@ -65,7 +64,7 @@
     private final Map<TargetIncarnation, EngineTracker> books = new HashMap<>();
     private final Map<TargetIncarnation, Long> askedAtMillis = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
-    private Fleet fleet = Fleet.empty();
+    private FleetSnapshot fleet = FleetSnapshot.empty();
     private long lastTerm = -1;
     private Map<EngineState, Long> loggedStates = Map.of();
     private long statesLoggedMillis;
@@ -103,7 +102,7 @@
         configuration = Optional.of(newer);
     }
 
-    void fleet(Fleet newer) {
+    void fleet(FleetSnapshot newer) {
         fleet = newer;
         Set<TargetIncarnation> known =
                 newer.all().map(TargetEntry::incarnation).collect(Collectors.toSet());
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
@@ -73,7 +73,7 @@
         Optional<TargetLink> chosen = policy.choose(query, candidates, seed++).map(links::get);
         chosen.ifPresentOrElse(
                 link -> {
-                    table.sent(link.target());
+                    table.recordSent(link.target());
                     runner.chosen(attempt, link);
                 },
                 () -> runner.noTarget(attempt, ErrorCode.NO_TARGET, NO_TARGET_RETRY_MILLIS));
@@ -84,11 +84,11 @@
     }
 
     void ended(TargetId target) {
-        table.ended(target);
+        table.recordEnded(target);
     }
 
     void served(TargetId target, long runMillis) {
-        table.served(target, runMillis);
+        table.recordServed(target, runMillis);
     }
 
     void onOwnership(LogRecord record) {
@@ -104,7 +104,7 @@
     }
 
     void onPlan(LogRecord record) {
-        plans.handle(record).ifPresent(plan -> table.plan(plan.placements()));
+        plans.handle(record).ifPresent(plan -> table.applyPlan(plan.placements()));
     }
 
     void onHosts(Set<HostId> leaving) {
@@ -155,7 +155,7 @@
                 .ifPresent(
                         link -> {
                             links.remove(retire.target());
-                            table.forget(retire.target());
+                            table.clearLoad(retire.target());
                             peers.retire(link);
                         });
     }
@@ -172,7 +172,7 @@
                         link -> {
                             LOG.infof("event=target-disconnected target=%s", target);
                             links.remove(target);
-                            table.forget(target);
+                            table.clearLoad(target);
                         });
         membership.closed(target, owner, ControlThread.nowMillis());
     }
@@ -184,7 +184,7 @@
     void onLoad(TargetLink link, Message.Load load) {
         if (links.get(link.target()) == link && load.target().equals(link.target())) {
             membership.announced(link.target(), link.owner(), load.leaving());
-            table.heard(load, ControlThread.nowMillis());
+            table.recordLoad(load, ControlThread.nowMillis());
         }
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/DemandMeter.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/DemandMeter.java
@@ -1,12 +1,11 @@
 package org.tamaracktrack.daemon.gateway;
 
+import java.util.HashMap;
+import java.util.Map;
 import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.fleet.ModelNeed;
 import org.tamaracktrack.core.route.Route;
 
-import java.util.HashMap;
-import java.util.Map;
-
 /** Counts what requests ask of models between two readings. Owned by the traffic thread. */
 final class DemandMeter {
     /** Requests with a later objective than this can wait for a copy to be loaded. */
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/FleetFollower.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/FleetFollower.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.error.TamaracktrackException;
-import org.tamaracktrack.core.fleet.Fleet;
-import org.tamaracktrack.core.fleet.FleetRegister;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
+import org.tamaracktrack.core.fleet.FleetTracker;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.daemon.runtime.ControlThread;
@@ -23,15 +23,15 @@
     private static final long EXPIRE_EVERY_MILLIS = 250;
 
     private final Function<KeyedRecord, Optional<TargetEntry>> decoder;
-    private final Consumer<Fleet> changed;
+    private final Consumer<FleetSnapshot> changed;
     private final Supplier<Set<TargetId>> closing;
-    private final FleetRegister register = FleetRegister.empty();
+    private final FleetTracker register = FleetTracker.empty();
     private volatile int missing;
     private volatile long wholeAtMillis = Long.MIN_VALUE / 2;
 
     private FleetFollower(
             Function<KeyedRecord, Optional<TargetEntry>> decoder,
-            Consumer<Fleet> changed,
+            Consumer<FleetSnapshot> changed,
             Supplier<Set<TargetId>> closing) {
         this.decoder = decoder;
         this.changed = changed;
@@ -49,7 +49,7 @@
      */
     public static FleetFollower of(
             Function<KeyedRecord, Optional<TargetEntry>> decoder,
-            Consumer<Fleet> changed,
+            Consumer<FleetSnapshot> changed,
             Supplier<Set<TargetId>> closing,
             ControlThread control) {
         Objects.requireNonNull(decoder, "decoder is null");
@@ -83,14 +83,14 @@
                         .flatMap(record -> apply(record).stream())
                         .collect(Collectors.toSet());
         long nowMillis = ControlThread.nowMillis();
-        register.listed(listed, nowMillis)
+        register.applyListing(listed, nowMillis)
                 .forEach((target, removal) -> tell(target, removal, "listing", nowMillis));
         changed.accept(register.fleet());
     }
 
     @Override
     public void onRecords(List<KeyedRecord> records) {
-        Fleet before = register.fleet();
+        FleetSnapshot before = register.fleet();
         records.forEach(this::apply);
         if (register.fleet() != before) {
             changed.accept(register.fleet());
@@ -118,20 +118,20 @@
 
     private void remove(TargetId target, long offset) {
         long nowMillis = ControlThread.nowMillis();
-        tell(target, register.removed(target, nowMillis), Long.toString(offset), nowMillis);
+        tell(target, register.remove(target, nowMillis), Long.toString(offset), nowMillis);
     }
 
     private void tell(
-            TargetId target, FleetRegister.Removal removal, String offset, long nowMillis) {
+            TargetId target, FleetTracker.RemovalOutcome removal, String offset, long nowMillis) {
         String about = " target=" + target + " offset=" + offset;
-        if (removal == FleetRegister.Removal.DROPPED) {
+        if (removal == FleetTracker.RemovalOutcome.DROPPED) {
             LOG.info("event=target-removed" + about);
-        } else if (removal == FleetRegister.Removal.MISSING) {
+        } else if (removal == FleetTracker.RemovalOutcome.MISSING) {
             LOG.info(
                     "event=target-missing"
                             + about
                             + " store_back_for_ms="
-                            + register.backForMillis(nowMillis));
+                            + register.availableForMillis(nowMillis));
         }
     }
 
@@ -160,12 +160,12 @@
     }
 
     private void expire() {
-        Fleet before = register.fleet();
-        register.closing(closing.get())
+        FleetSnapshot before = register.fleet();
+        register.dropMissing(closing.get())
                 .forEach(target -> LOG.info("event=target-closing target=" + target));
-        register.expire(ControlThread.nowMillis())
+        register.dropExpired(ControlThread.nowMillis())
                 .forEach(target -> LOG.info("event=target-expired target=" + target));
-        missing = register.missing();
+        missing = register.missingCount();
         if (register.fleet() != before) {
             changed.accept(register.fleet());
         }
@@ -173,12 +173,12 @@
 
     @Override
     public void onAway() {
-        register.away();
+        register.registryUnavailable();
     }
 
     @Override
     public void onBack(long returnedAtMillis) {
-        register.back(returnedAtMillis);
+        register.registryAvailable(returnedAtMillis);
     }
 
     @Override
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
@@ -8,13 +8,22 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 import io.undertow.util.StatusCodes;
-
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Objects;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import java.util.random.RandomGenerator;
 import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.dispatch.FleetRetryBudget;
 import org.tamaracktrack.core.dispatch.TargetChooser;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.id.DataCentreId;
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.knowledge.KnowledgeBound;
@@ -28,17 +37,6 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-import java.net.InetSocketAddress;
-import java.util.List;
-import java.util.Objects;
-import java.util.OptionalLong;
-import java.util.Set;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
-import java.util.function.LongSupplier;
-import java.util.random.RandomGenerator;
-
 /** The server that callers reach, with the readiness that a balancer asks for. */
 public final class Gateway implements AutoCloseable {
     private static final int REQUEST_HEAD_MILLIS = 10_000;
@@ -236,7 +234,7 @@
      *
      * @param fleet the targets
      */
-    public void fleet(Fleet fleet) {
+    public void fleet(FleetSnapshot fleet) {
         services.update(services.view().with(fleet));
     }
 
@@ -256,7 +254,7 @@
      *
      * @return the targets
      */
-    public Fleet targets() {
+    public FleetSnapshot targets() {
         return services.view().fleet();
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/GatewayHandler.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/GatewayHandler.java
@@ -101,7 +101,7 @@
         long arrivedMillis =
                 Optional.ofNullable(exchange.getAttachment(ARRIVED_MILLIS))
                         .orElseGet(services::nowMillis);
-        int mostBytes = configuration.limits().bodyBytes();
+        int mostBytes = configuration.limits().maximumBodyBytes();
         if (exchange.getRequestContentLength() > mostBytes) {
             Refusals.answer(exchange, ErrorCode.BODY_TOO_LARGE);
             return;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/GatewayView.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/GatewayView.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import java.util.Optional;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.route.ServingConfiguration;
 
 /**
@@ -13,7 +13,7 @@
  * @param fleetKnown whether the registry was read at least once
  */
 public record GatewayView(
-        Optional<ServingConfiguration> configuration, Fleet fleet, boolean fleetKnown) {
+        Optional<ServingConfiguration> configuration, FleetSnapshot fleet, boolean fleetKnown) {
 
     /** Checks the arguments. */
     public GatewayView {
@@ -27,14 +27,14 @@
      * @return the view
      */
     public static GatewayView empty() {
-        return new GatewayView(Optional.empty(), Fleet.empty(), false);
+        return new GatewayView(Optional.empty(), FleetSnapshot.empty(), false);
     }
 
     GatewayView with(ServingConfiguration newer) {
         return new GatewayView(Optional.of(newer), fleet, fleetKnown);
     }
 
-    GatewayView with(Fleet newer) {
+    GatewayView with(FleetSnapshot newer) {
         return new GatewayView(configuration, newer, true);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/LinkCheck.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/LinkCheck.java
@@ -8,7 +8,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.TargetAddress;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.link.http.HttpCaller;
@@ -36,7 +36,7 @@
     private static final long SHARED_MILLIS = 100;
 
     private final HttpCaller http;
-    private final Supplier<Fleet> fleet;
+    private final Supplier<FleetSnapshot> fleet;
     private final LongSupplier nowMillis;
     private final RandomGenerator random;
     private volatile long promptFromMillis = Long.MIN_VALUE / 2;
@@ -45,7 +45,7 @@
 
     LinkCheck(
             HttpCaller http,
-            Supplier<Fleet> fleet,
+            Supplier<FleetSnapshot> fleet,
             LongSupplier nowMillis,
             RandomGenerator random) {
         this.http = http;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/LoadBoard.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/LoadBoard.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import org.tamaracktrack.core.dispatch.LoadShare;
 import org.tamaracktrack.core.dispatch.TargetLoad;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 
@@ -33,7 +33,7 @@
     }
 
     /** Forgets targets that are gone. */
-    void keep(Fleet fleet) {
+    void keep(FleetSnapshot fleet) {
         Set<TargetIncarnation> known =
                 fleet.all().map(TargetEntry::incarnation).collect(Collectors.toSet());
         loads.keySet().retainAll(known);
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DelayMonitor.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DelayMonitor.java
@@ -71,7 +71,7 @@
     }
 
     private static void beat(String thread, SchedulingDelay delay) {
-        long delayMillis = delay.beat(ControlThread.nowMillis());
+        long delayMillis = delay.recordTick(ControlThread.nowMillis());
         if (delayMillis > LATE_MILLIS) {
             LOG.info("event=thread-late thread=" + thread + " delay_ms=" + delayMillis);
         }
@@ -85,7 +85,7 @@
      */
     public boolean punctualSince(long sinceMillis) {
         long nowMillis = ControlThread.nowMillis();
-        return control.punctualSince(sinceMillis, nowMillis)
-                && traffic.punctualSince(sinceMillis, nowMillis);
+        return control.onTimeSince(sinceMillis, nowMillis)
+                && traffic.onTimeSince(sinceMillis, nowMillis);
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
@@ -2,6 +2,10 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import java.io.IOException;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -15,11 +19,6 @@
 import org.tamaracktrack.daemon.relay.RelayPair;
 import org.tamaracktrack.link.topic.TopicPart;
 
-import java.io.IOException;
-import java.util.Map;
-import java.util.Optional;
-import java.util.concurrent.CompletableFuture;
-
 class DemandExchangeTest {
     private static final TopicPart LEASE = new TopicPart("duties", 0);
     private static final TopicPart DEMAND = new TopicPart("duties", 1);
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
@@ -2,6 +2,11 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,12 +22,6 @@
 import org.tamaracktrack.core.lease.ConditionalLease.Contact;
 import org.tamaracktrack.core.lease.ConditionalLease.LeaseRecord;
 
-import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-
 class DutyRecordsTest {
     private static final ModelId MODEL = ModelId.of("model");
 
@@ -87,7 +86,7 @@
                     new DutyRecords.Holding(
                             engine,
                             Optional.of(
-                                    TargetEntry.byModel(
+                                    TargetEntry.indexByModel(
                                             List.of(
                                                     new HeldModel(
                                                             MODEL,
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/HoldingsExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/HoldingsExchangeTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.TargetAddress;
 import org.tamaracktrack.core.fleet.TargetEntry;
@@ -28,7 +28,7 @@
     private static final TargetIncarnation ENGINE = new TargetIncarnation(TargetId.of("engine"), 7);
     private static final ModelId MODEL = ModelId.of("model");
     private static final Map<ModelId, HeldModel> HELD =
-            TargetEntry.byModel(
+            TargetEntry.indexByModel(
                     List.of(
                             new HeldModel(
                                     MODEL, Set.of(AdapterId.of("one"), AdapterId.of("two")))));
@@ -36,7 +36,7 @@
     private RelayPair pair;
     private HoldingsExchange giver;
     private HoldingsExchange other;
-    private volatile Fleet known = Fleet.empty();
+    private volatile FleetSnapshot known = FleetSnapshot.empty();
 
     @BeforeEach
     void start() throws IOException {
@@ -57,7 +57,7 @@
                         Map.of(),
                         Set.of(),
                         Set.of());
-        pair.onControl(() -> other.fleet(Fleet.of(Map.of(ENGINE.target(), entry))));
+        pair.onControl(() -> other.fleet(FleetSnapshot.of(Map.of(ENGINE.target(), entry))));
     }
 
     @AfterEach
--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LastMomentTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LastMomentTest.java
@@ -26,14 +26,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.dispatch.FleetRetryBudget;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.TargetAddress;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 import org.tamaracktrack.core.id.DataCentreId;
 import org.tamaracktrack.core.id.ServiceId;
 import org.tamaracktrack.core.id.TargetId;
-import org.tamaracktrack.core.route.CallerLimits;
+import org.tamaracktrack.core.route.RequestLimits;
 import org.tamaracktrack.core.route.Route;
 import org.tamaracktrack.core.route.RouteKind;
 import org.tamaracktrack.core.route.RouteTable;
@@ -180,15 +180,16 @@
                 1,
                 RouteTable.of(List.of(route)),
                 Map.of(SERVICE, new ServiceSpecification(SERVICE, Optional.empty())),
-                new CallerLimits(10_000));
+                new RequestLimits(10_000));
     }
 
-    private static Fleet fleet(boolean leaving) {
+    private static FleetSnapshot fleet(boolean leaving) {
         TargetEntry one = entry("r1", leaving);
         TargetEntry two = entry("r2", false);
         return leaving
-                ? Fleet.of(Map.of(one.incarnation().target(), one, two.incarnation().target(), two))
-                : Fleet.of(Map.of(one.incarnation().target(), one));
+                ? FleetSnapshot.of(
+                        Map.of(one.incarnation().target(), one, two.incarnation().target(), two))
+                : FleetSnapshot.of(Map.of(one.incarnation().target(), one));
     }
 
     private static TargetEntry entry(String name, boolean leaving) {
--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LinkCheckTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LinkCheckTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.fleet.TargetAddress;
 import org.tamaracktrack.core.fleet.TargetEntry;
 import org.tamaracktrack.core.fleet.TargetIncarnation;
@@ -27,7 +27,7 @@
 class LinkCheckTest {
     private final List<InetSocketAddress> tried = new ArrayList<>();
     private final CompletableFuture<Boolean> answer = new CompletableFuture<>();
-    private Fleet fleet = Fleet.empty();
+    private FleetSnapshot fleet = FleetSnapshot.empty();
     private long nowMillis = 100_000;
     private final LinkCheck check =
             new LinkCheck(new Caller(), () -> fleet, () -> nowMillis, new SplittableRandom(1));
@@ -79,7 +79,7 @@
 
     private void know(int port) {
         TargetEntry entry = target(port);
-        fleet = Fleet.of(Map.of(entry.incarnation().target(), entry));
+        fleet = FleetSnapshot.of(Map.of(entry.incarnation().target(), entry));
     }
 
     private boolean reached() {
