--- a/core/src/test/java/org/tamaracktrack/core/routing/RoutingBenchmark.java
+++ b/core/src/test/java/org/tamaracktrack/core/routing/RoutingBenchmark.java
@@ -65,7 +65,7 @@
         }
         double nanos = (double) (System.nanoTime() - start) / decisions;
         if (chosen != decisions) {
-            throw new AssertionError("no choice");
+            throw new AssertionError("at least one decision selected no target");
         }
         return nanos;
     }
