--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.tamaracktrack.core.copies.DemandBook;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.copies.DemandTracker;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.lease.ConditionalLease;
 import org.tamaracktrack.core.route.ServingConfiguration;
 import org.tamaracktrack.daemon.relay.RecordRelay;
@@ -57,8 +57,8 @@
             RecordRelay relay,
             EngineOrders orders,
             ControlThread control,
-            Supplier<CompletableFuture<DemandBook.Seen>> meter,
-            Consumer<Fleet> changed) {
+            Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter,
+            Consumer<FleetSnapshot> changed) {
         Objects.requireNonNull(member, "member is null");
         ConditionalLease.Terms terms =
                 ConditionalLease.Terms.of(member.pauseMillis(), member.delayMillis());
@@ -70,7 +70,7 @@
                         ConditionalLease.of(
                                 member.process(), relay.address(), relay::contact, terms),
                         relay);
-        DemandBook demand = DemandBook.empty();
+        DemandTracker demand = DemandTracker.empty();
         DemandExchange.start(
                 member.process(),
                 topics,
@@ -101,7 +101,7 @@
      *
      * @param fleet the targets known now
      */
-    public void fleet(Fleet fleet) {
+    public void fleet(FleetSnapshot fleet) {
         giver.fleet(fleet);
         holdings.fleet(fleet);
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import org.tamaracktrack.core.copies.DemandBook;
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.ModelNeed;
@@ -28,7 +28,7 @@
      * @param process the daemon
      * @param seen what it saw
      */
-    record DemandRecord(String process, DemandBook.Seen seen) {}
+    record DemandRecord(String process, DemandTracker.DemandCounts seen) {}
 
     /**
      * What an engine holds.
@@ -163,8 +163,8 @@
                                         .map(process -> new DemandRecord(process, seen(tree))));
     }
 
-    private static DemandBook.Seen seen(JsonNode tree) {
-        return new DemandBook.Seen(
+    private static DemandTracker.DemandCounts seen(JsonNode tree) {
+        return new DemandTracker.DemandCounts(
                 needs(tree.path("urgent")),
                 needs(tree.path("patient")),
                 needs(tree.path("waiting")));
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
@@ -18,12 +18,12 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import org.tamaracktrack.core.copies.DemandBook;
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.dispatch.FleetRetryBudget;
 import org.tamaracktrack.core.dispatch.TargetChooser;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
-import org.tamaracktrack.core.fleet.Fleet;
+import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.id.DataCentreId;
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.knowledge.KnowledgeBound;
@@ -234,7 +234,7 @@
      *
      * @param fleet the targets
      */
-    public void fleet(Fleet fleet) {
+    public void fleet(FleetSnapshot fleet) {
         services.update(services.view().with(fleet));
     }
 
@@ -254,7 +254,7 @@
      *
      * @return the targets
      */
-    public Fleet targets() {
+    public FleetSnapshot targets() {
         return services.view().fleet();
     }
 
@@ -263,8 +263,8 @@
      *
      * @return the demand, completed on the traffic thread
      */
-    public CompletableFuture<DemandBook.Seen> demand() {
-        CompletableFuture<DemandBook.Seen> reading = new CompletableFuture<>();
+    public CompletableFuture<DemandTracker.DemandCounts> demand() {
+        CompletableFuture<DemandTracker.DemandCounts> reading = new CompletableFuture<>();
         thread.execute(() -> reading.complete(services.demand().take(services.waiting().byNeed())));
         return reading;
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.tamaracktrack.core.copies.DemandBook;
+import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.fleet.HeldModel;
 import org.tamaracktrack.core.fleet.ModelNeed;
 import org.tamaracktrack.core.fleet.TargetEntry;
@@ -58,7 +58,8 @@
             DutyRecords.DemandRecord record =
                     new DutyRecords.DemandRecord(
                             "host",
-                            new DemandBook.Seen(Map.of(need, 2), Map.of(), Map.of(need, 1)));
+                            new DemandTracker.DemandCounts(
+                                    Map.of(need, 2), Map.of(), Map.of(need, 1)));
 
             assertThat(DutyRecords.demand(DutyRecords.encode(record)))
                     .isEqualTo(Optional.of(record));
@@ -85,7 +86,7 @@
                     new DutyRecords.Holding(
                             engine,
                             Optional.of(
-                                    TargetEntry.byModel(
+                                    TargetEntry.indexByModel(
                                             List.of(
                                                     new HeldModel(
                                                             MODEL,
