--- a/core/src/main/java/org/tamaracktrack/core/exchange/RequestExchange.java
+++ b/core/src/main/java/org/tamaracktrack/core/exchange/RequestExchange.java
@@ -12,7 +12,7 @@
 import org.tamaracktrack.core.id.AttemptId;
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.message.Message;
-import org.tamaracktrack.core.retry.RetryRule;
+import org.tamaracktrack.core.retry.RetryPolicy;
 
 /**
  * The state machine of one request. The caller gets exactly one answer. An attempt is followed by
@@ -23,7 +23,7 @@
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
     private final ExchangeParameters parameters;
-    private final RetryRule retryRule;
+    private final RetryPolicy retryRule;
     private final Set<TargetId> triedTargets = new TreeSet<>();
     private final List<ExchangeAction> actions = new ArrayList<>();
     private final CallerResponse response;
@@ -40,7 +40,7 @@
         ENDED
     }
 
-    private RequestExchange(ExchangeParameters parameters, RetryRule retryRule) {
+    private RequestExchange(ExchangeParameters parameters, RetryPolicy retryRule) {
         this.parameters = parameters;
         this.retryRule = retryRule;
         this.attempt = parameters.firstAttempt();
@@ -54,7 +54,7 @@
      * @param retryRule decides about further attempts
      * @return the exchange
      */
-    public static RequestExchange of(ExchangeParameters parameters, RetryRule retryRule) {
+    public static RequestExchange of(ExchangeParameters parameters, RetryPolicy retryRule) {
         Objects.requireNonNull(parameters, "parameters is null");
         Objects.requireNonNull(retryRule, "retryRule is null");
         return new RequestExchange(parameters, retryRule);
@@ -301,8 +301,8 @@
                 new ExchangeAction.AnswerError(code, Ran.NO, retryAfterMillis);
         ExchangeAction.AnswerError error =
                 reportedRefusal
-                        .filter(first -> RetryRule.forWantOfRoom(first.code()))
-                        .filter(first -> !RetryRule.forWantOfRoom(code))
+                        .filter(first -> RetryPolicy.isCapacityRefusal(first.code()))
+                        .filter(first -> !RetryPolicy.isCapacityRefusal(code))
                         .orElse(last);
         reportedRefusal = Optional.of(error);
         if (response.isAnswered()) {
@@ -326,7 +326,7 @@
             fail(error);
         } else {
             retryOrFail(
-                    retryRule.afterLoss(code, attemptCount(), nowMillis, parameters.seed()), error);
+                    retryRule.afterLostAnswer(code, attemptCount(), nowMillis, parameters.seed()), error);
         }
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/fleet/FleetTracker.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/FleetTracker.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import org.tamaracktrack.core.dispatch.RecentlyUsed;
+import org.tamaracktrack.core.dispatch.LruMap;
 import org.tamaracktrack.core.id.TargetId;
 
 /**
@@ -31,7 +31,7 @@
     private final Map<TargetId, TargetEntry> entries = new HashMap<>();
     private final Set<TargetId> missingTargets = new HashSet<>();
     private final Set<TargetIncarnation> departedIncarnations =
-            RecentlyUsed.setOf(MAX_DEPARTED_INCARNATIONS);
+LruMap.setOf(MAX_DEPARTED_INCARNATIONS);
     private FleetSnapshot fleet = FleetSnapshot.empty();
     private boolean registryUnavailable;
     private long availableSinceMillis = Long.MIN_VALUE / 2;
--- a/core/src/test/java/org/tamaracktrack/core/exchange/RequestExchangeTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/exchange/RequestExchangeTest.java
@@ -19,7 +19,7 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.core.retry.RetryBudget;
-import org.tamaracktrack.core.retry.RetryRule;
+import org.tamaracktrack.core.retry.RetryPolicy;
 
 class RequestExchangeTest {
     private static final AttemptId FIRST_ATTEMPT = AttemptId.of(IncarnationId.of("entry-1"), 1, 0);
@@ -74,7 +74,7 @@
                 RequestExchange.of(
                         new ExchangeParameters(
                                 FIRST_ATTEMPT, idempotent, false, 1_000, 100, 100, 1),
-                        RetryRule.of(RetryBudget.of(0)));
+                        RetryPolicy.of(RetryBudget.of(0)));
         exchange.handle(new ExchangeEvent.Ready(), 0);
         exchange.handle(new ExchangeEvent.TargetChosen(FIRST_ATTEMPT, TARGET), 0);
         return exchange;
@@ -153,7 +153,7 @@
             RequestExchange exchange =
                     RequestExchange.of(
                             new ExchangeParameters(FIRST_ATTEMPT, true, false, 1_000, 100, 100, 1),
-                            RetryRule.of(RetryBudget.of(0)));
+                            RetryPolicy.of(RetryBudget.of(0)));
             exchange.handle(new ExchangeEvent.Ready(), 0);
             exchange.handle(new ExchangeEvent.DeadlinePassed(), 1_000);
 
@@ -169,7 +169,7 @@
             RequestExchange exchange =
                     RequestExchange.of(
                             new ExchangeParameters(FIRST_ATTEMPT, true, false, 1_000, 100, 100, 1),
-                            RetryRule.of(RetryBudget.of(0)));
+                            RetryPolicy.of(RetryBudget.of(0)));
             exchange.handle(new ExchangeEvent.Ready(), 0);
             List<ExchangeAction> actions =
                     exchange.handle(new ExchangeEvent.TargetChosen(FIRST_ATTEMPT, TARGET), 1_000);
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/EndedTargets.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/EndedTargets.java
@@ -86,7 +86,7 @@
                         + " requests="
                         + ends.size());
         if (refused) {
-            services.loads().of(entry.incarnation()).gone(services.nowMillis());
+            services.loads().of(entry.incarnation()).recordTargetEnd(services.nowMillis());
             listener.onEnded(List.copyOf(ends));
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
@@ -20,13 +20,13 @@
 import java.util.random.RandomGenerator;
 import org.tamaracktrack.core.copies.DemandTracker;
 import org.tamaracktrack.core.dispatch.FleetRetryBudget;
-import org.tamaracktrack.core.dispatch.TargetChooser;
+import org.tamaracktrack.core.dispatch.TargetSelector;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.fleet.FleetSnapshot;
 import org.tamaracktrack.core.id.DataCentreId;
 import org.tamaracktrack.core.id.TargetId;
-import org.tamaracktrack.core.knowledge.KnowledgeBound;
+import org.tamaracktrack.core.knowledge.StalenessBound;
 import org.tamaracktrack.core.quarantine.Quarantine;
 import org.tamaracktrack.core.route.ServingConfiguration;
 import org.tamaracktrack.daemon.load.Datagrams;
@@ -123,7 +123,7 @@
                         http,
                         thread,
                         dialect,
-                        TargetChooser.of(place.dataCentre()),
+                        TargetSelector.of(place.dataCentre()),
                         place.retryBudget(),
                         GatewayMetrics.of(metrics),
                         leaving,
@@ -284,7 +284,9 @@
                         services,
                         services.loads()::own,
                         (target, share) ->
-                                services.loads().of(target).others(share, services.nowMillis()));
+                                services.loads()
+                                        .of(target)
+                                        .recordPeerShare(share, services.nowMillis()));
         thread.execute(() -> services.onLoadsChanged(exchange::changed));
         return addresses -> thread.execute(() -> exchange.peers(addresses));
     }
@@ -316,7 +318,7 @@
      * @param bound how old it may be
      * @param source knows how old it is
      */
-    public void watch(String name, KnowledgeBound bound, KnowledgeSource source) {
+    public void watch(String name, StalenessBound bound, KnowledgeSource source) {
         services.gate().watch(name, bound, source);
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/GatewayMetrics.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/GatewayMetrics.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.tamaracktrack.core.dispatch.FailureRule;
+import org.tamaracktrack.core.dispatch.FailurePolicy;
 import org.tamaracktrack.core.id.ServiceId;
 
 /** Counters and histograms of passed-on requests, by route. Owned by the traffic thread. */
@@ -53,7 +53,7 @@
      * Counts how a possible repeat was decided, and shows how many more this daemon could send to
      * the service then.
      */
-    void repeat(ServiceId service, FailureRule.Payment payment, double left) {
+    void repeat(ServiceId service, FailurePolicy.Payment payment, double left) {
         registry.counter(
                         "tamaracktrack.gateway.repeats",
                         "service",
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/LoadBoard.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/LoadBoard.java
@@ -27,7 +27,7 @@
     /** Returns what this daemon has at targets, without those at which it has nothing. */
     Map<TargetIncarnation, LoadShare> own() {
         return loads.entrySet().stream()
-                .map(load -> Map.entry(load.getKey(), load.getValue().own()))
+                .map(load -> Map.entry(load.getKey(), load.getValue().ownShare()))
                 .filter(share -> !share.getValue().isEmpty())
                 .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/LoadRecord.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/LoadRecord.java
@@ -37,7 +37,7 @@
                 packer.packString(share.getKey().target().value());
                 packer.packLong(share.getKey().startedAtMillis());
                 packer.packInt(share.getValue().outstanding());
-                packer.packInt(share.getValue().unreadTokens());
+                packer.packInt(share.getValue().pendingPromptTokens());
             }
             return packer.toByteArray();
         } catch (IOException failure) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
@@ -152,7 +152,7 @@
 
     private void select(Set<Peer> known) {
         listed = Optional.of(known);
-        List<Peer> peers = PeerSelection.of(self, known);
+        List<Peer> peers = PeerSelection.peersOf(self, known);
         Set<Peer> newer = Set.copyOf(peers);
         if (!newer.equals(selected)) {
             selected = newer;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/QuarantineExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/QuarantineExchange.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
-import org.tamaracktrack.core.dispatch.RecentlyUsed;
+import org.tamaracktrack.core.dispatch.LruMap;
 import org.tamaracktrack.core.quarantine.Quarantine;
 import org.tamaracktrack.core.quarantine.QuarantineRegister;
 import org.tamaracktrack.core.quarantine.RequestFingerprint;
@@ -50,7 +50,7 @@
     private final Consumer<Quarantine> changed;
     private final QuarantineRegister register = QuarantineRegister.empty();
     private final Map<String, Optional<byte[]>> unwritten = new LinkedHashMap<>();
-    private final Map<String, EndRecord> written = RecentlyUsed.of(MOST_UNWRITTEN);
+    private final Map<String, EndRecord> written = LruMap.of(MOST_UNWRITTEN);
     private volatile Quarantine quarantine = Quarantine.empty();
     private boolean writing;
 
@@ -110,7 +110,7 @@
     /** Safe for use by any thread. */
     @Override
     public void onAnswered(RequestFingerprint request) {
-        control.post(() -> forget(register.clear(request)));
+        control.post(() -> forget(register.removeAll(request)));
     }
 
     private void ended(List<TargetEnd> ends) {
@@ -184,7 +184,7 @@
         List<EndRecord> lost =
                 written.values().stream()
                         .filter(record -> !listed.contains(EndRecord.key(record.end())))
-                        .filter(record -> register.counts(record.end()))
+                        .filter(record -> register.contains(record.end()))
                         .collect(Collectors.toList());
         lost.forEach(this::toWrite);
         if (!lost.isEmpty()) {
@@ -228,7 +228,7 @@
                                         "event=request-quarantined fingerprint="
                                                 + request
                                                 + " targets_ended="
-                                                + register.ends(request)));
+                                                + register.endCount(request)));
         LOG.info(
                 "event=quarantine suspects="
                         + newer.suspects().size()
