--- a/core/src/main/java/org/tamaracktrack/core/fleet/FleetTracker.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/FleetTracker.java
@@ -139,7 +139,8 @@
     }
 
     // A registry that is restored from a backup contains old entries again, also those of departed
-    // targets. An incarnation that has announced its departure never returns.
+    // targets. An incarnation that has announced its departure stays leaving for as long as it
+    // runs.
     private void drop(Set<TargetId> targets) {
         targets.stream()
                 .map(entries::get)
