--- a/bench/src/main/java/org/tamaracktrack/bench/slope/Fleet.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/Fleet.java
@@ -97,11 +97,11 @@
         for (int index = 0; index < targets; index++) {
             TargetId target = target(index);
             Set<ModelId> resident =
-                    layout.on(target).stream()
+                    layout.copiesOn(target).stream()
                             .map(copy -> copy.model())
                             .collect(Collectors.toSet());
             Set<AdapterId> adapters =
-                    layout.on(target).stream()
+                    layout.copiesOn(target).stream()
                             .flatMap(copy -> copy.adapters().stream())
                             .collect(Collectors.toSet());
             statuses.put(target, new TargetStatus(true, false, 8, 0, resident, adapters, Set.of()));
--- a/bench/src/main/java/org/tamaracktrack/bench/trace/PlacementTrace.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/trace/PlacementTrace.java
@@ -213,7 +213,8 @@
                         .collect(
                                 Collectors.toMap(
                                         engine -> engine.target().id(), FakeEngine::status));
-        estimator.running(statuses.values().stream().mapToInt(TargetStatus::running).sum(), 1_000);
+        estimator.observeRunning(
+                statuses.values().stream().mapToInt(TargetStatus::running).sum(), 1_000);
         plan =
                 one.next(
                         plan,
--- a/core/src/main/java/org/tamaracktrack/core/placement/DemandEstimator.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/DemandEstimator.java
@@ -16,43 +16,43 @@
 /**
  * Estimates the demand for each model from the counters in the reports stream.
  *
- * <p>Two moving averages per model, a fast one and a slow one, over the log's time. The counters
- * are cumulative: what a lost record would have said comes with the next one, a doubled or late one
- * says nothing new. Averages are as of the newest record, so that a silent log is not read as
- * demand that has gone.
+ * <p>Keeps a fast and a slow exponential moving average per model, in the time of the log. Counters
+ * are cumulative: the next record makes up for a lost one, and a duplicate or late record is
+ * ignored. Averages decay only up to the newest record, so that an unavailable log does not look
+ * like a loss of demand.
  */
 public final class DemandEstimator {
-    private static final double FAST_SECONDS = 30;
-    private static final double SLOW_SECONDS = 600;
-    private static final double PROMPT_TOKEN_WORK = 0.125;
+    private static final double FAST_WINDOW_SECONDS = 30;
+    private static final double SLOW_WINDOW_SECONDS = 600;
+    private static final double PROMPT_TOKEN_WEIGHT = 0.125;
     private static final double DEFAULT_SECONDS_PER_REQUEST = 1;
-    private static final long LONGEST_FIRST_SPAN_MILLIS = 60_000;
-
-    private final Map<IncarnationId, CountersPublished> latest = new HashMap<>();
-    private final Map<ModelId, Averages> models = new TreeMap<>();
-    private final Map<String, Optional<CounterName>> names = new HashMap<>();
-    private final Averages all = new Averages();
-    private long firstMillis = -1;
-    private long newestMillis;
+    private static final long MAX_FIRST_RECORD_SPAN_MILLIS = 60_000;
+
+    private final Map<IncarnationId, CountersPublished> latestByProcess = new HashMap<>();
+    private final Map<ModelId, Averages> averagesByModel = new TreeMap<>();
+    private final Map<String, Optional<CounterName>> parsedNames = new HashMap<>();
+    private final Averages total = new Averages();
+    private long firstRecordMillis = -1;
+    private long newestRecordMillis;
     private double meanRunning;
     private boolean runningKnown;
 
-    /** Moving averages of events a second. */
+    /** Exponential moving averages, in events per second. */
     private static final class Averages {
         private double offeredFast;
         private double offeredSlow;
         private double servedSlow;
-        private double workSlow;
+        private double weightedTokensSlow;
         private long atMillis = Long.MIN_VALUE;
 
         void decay(long nowMillis) {
             double seconds = atMillis == Long.MIN_VALUE ? 0 : (nowMillis - atMillis) / 1_000.0;
-            double fast = Math.exp(-seconds / FAST_SECONDS);
-            double slow = Math.exp(-seconds / SLOW_SECONDS);
+            double fast = Math.exp(-seconds / FAST_WINDOW_SECONDS);
+            double slow = Math.exp(-seconds / SLOW_WINDOW_SECONDS);
             offeredFast *= fast;
             offeredSlow *= slow;
             servedSlow *= slow;
-            workSlow *= slow;
+            weightedTokensSlow *= slow;
             atMillis = nowMillis;
         }
     }
@@ -60,7 +60,7 @@
     private DemandEstimator() {}
 
     /**
-     * Returns an estimator that knows of no demand.
+     * Returns an estimator without any records, for which all demand is zero.
      *
      * @return the estimator
      */
@@ -69,15 +69,15 @@
     }
 
     /**
-     * Takes the next record of the reports stream in.
+     * Applies the next record of the reports stream.
      *
      * @param record the record
      */
     public void handle(LogRecord record) {
         Objects.requireNonNull(record, "record is null");
-        newestMillis = Math.max(newestMillis, record.appendedAtMillis());
-        if (firstMillis < 0) {
-            firstMillis = newestMillis;
+        newestRecordMillis = Math.max(newestRecordMillis, record.appendedAtMillis());
+        if (firstRecordMillis < 0) {
+            firstRecordMillis = newestRecordMillis;
         }
         if (record.entry() instanceof CountersPublished counters) {
             count(counters);
@@ -85,25 +85,27 @@
     }
 
     private void count(CountersPublished after) {
-        CountersPublished before = latest.get(after.incarnation());
+        CountersPublished before = latestByProcess.get(after.incarnation());
         if (before != null && after.sequence() <= before.sequence()) {
             return;
         }
         if (after.last()) {
-            latest.remove(after.incarnation());
+            latestByProcess.remove(after.incarnation());
         } else {
-            latest.put(after.incarnation(), after);
+            latestByProcess.put(after.incarnation(), after);
         }
-        // The first record seen of a process that has run for long sums up hours; taken as news it
-        // would look like a huge peak.
+        // The first record read from a long-running process holds hours of requests. Counting it as
+        // an increase would look like a large peak, so it serves only as the baseline.
         boolean baselineOnly =
                 before == null
                         && after.takenAtMillis() - after.startedAtMillis()
-                                > LONGEST_FIRST_SPAN_MILLIS;
+                                > MAX_FIRST_RECORD_SPAN_MILLIS;
         if (!baselineOnly) {
-            Map<String, Long> known = before == null ? Map.of() : before.counters();
+            Map<String, Long> previousCounters = before == null ? Map.of() : before.counters();
             after.counters()
-                    .forEach((name, value) -> count(name, value - known.getOrDefault(name, 0L)));
+                    .forEach(
+                            (name, value) ->
+                                    count(name, value - previousCounters.getOrDefault(name, 0L)));
         }
     }
 
@@ -111,94 +113,99 @@
         if (increase <= 0) {
             return;
         }
-        names.computeIfAbsent(text, CounterName::parse)
+        parsedNames
+                .computeIfAbsent(text, CounterName::parse)
                 .ifPresent(
                         name -> {
                             if (name instanceof CounterName.Requests requests) {
-                                requests(requests, increase);
+                                addRequests(requests, increase);
                             } else if (name instanceof CounterName.Tokens tokens) {
-                                tokens(tokens, increase);
+                                addTokens(tokens, increase);
                             }
                         });
     }
 
-    private void requests(CounterName.Requests name, long increase) {
+    private void addRequests(CounterName.Requests name, long increase) {
         ModelId model = ModelId.of(name.destination());
         RequestOutcome.Kind kind = name.outcome().kind();
         if (kind == RequestOutcome.Kind.OFFERED) {
-            averages(model).offeredFast += increase / FAST_SECONDS;
-            averages(model).offeredSlow += increase / SLOW_SECONDS;
+            decayedAveragesOf(model).offeredFast += increase / FAST_WINDOW_SECONDS;
+            decayedAveragesOf(model).offeredSlow += increase / SLOW_WINDOW_SECONDS;
         } else if (kind == RequestOutcome.Kind.IN_CLASS || kind == RequestOutcome.Kind.LATE) {
-            averages(model).servedSlow += increase / SLOW_SECONDS;
-            decayed(all).servedSlow += increase / SLOW_SECONDS;
+            decayedAveragesOf(model).servedSlow += increase / SLOW_WINDOW_SECONDS;
+            decayed(total).servedSlow += increase / SLOW_WINDOW_SECONDS;
         }
     }
 
-    private void tokens(CounterName.Tokens name, long increase) {
-        double weight = name.kind() == CounterName.TokenKind.PROMPT ? PROMPT_TOKEN_WORK : 1;
-        averages(name.model()).workSlow += weight * increase / SLOW_SECONDS;
-        decayed(all).workSlow += weight * increase / SLOW_SECONDS;
+    private void addTokens(CounterName.Tokens name, long increase) {
+        double weight = name.kind() == CounterName.TokenKind.PROMPT ? PROMPT_TOKEN_WEIGHT : 1;
+        decayedAveragesOf(name.model()).weightedTokensSlow +=
+                weight * increase / SLOW_WINDOW_SECONDS;
+        decayed(total).weightedTokensSlow += weight * increase / SLOW_WINDOW_SECONDS;
     }
 
-    private Averages averages(ModelId model) {
-        return decayed(models.computeIfAbsent(model, unused -> new Averages()));
+    private Averages decayedAveragesOf(ModelId model) {
+        return decayed(averagesByModel.computeIfAbsent(model, unused -> new Averages()));
     }
 
     private Averages decayed(Averages averages) {
-        averages.decay(Math.max(newestMillis, averages.atMillis));
+        averages.decay(Math.max(newestRecordMillis, averages.atMillis));
         return averages;
     }
 
     /**
-     * Takes in how many requests are running on all targets together, from which the time that a
-     * request takes follows by Little's law.
+     * Records the number of requests running on all targets together. The mean duration of a
+     * request is derived from it by Little's law.
      *
-     * @param running how many
-     * @param elapsedMillis the time since the last call
+     * @param running the number of running requests
+     * @param elapsedMillis the time since the previous call
      */
-    public void running(int running, long elapsedMillis) {
-        double weight = runningKnown ? 1 - Math.exp(-elapsedMillis / 1_000.0 / SLOW_SECONDS) : 1;
+    public void observeRunning(int running, long elapsedMillis) {
+        double weight =
+                runningKnown ? 1 - Math.exp(-elapsedMillis / 1_000.0 / SLOW_WINDOW_SECONDS) : 1;
         meanRunning += weight * (running - meanRunning);
         runningKnown = true;
     }
 
     /**
-     * Returns the demand as of the newest record.
+     * Returns the estimated demand at the time of the newest record.
      *
      * @return the demand by model
      */
     public Map<ModelId, ModelDemand> demand() {
-        models.values().forEach(this::decayed);
-        decayed(all);
-        return models.entrySet().stream()
+        averagesByModel.values().forEach(this::decayed);
+        decayed(total);
+        return averagesByModel.entrySet().stream()
                 .collect(
                         Collectors.toUnmodifiableMap(
                                 Map.Entry::getKey, entry -> demand(entry.getValue())));
     }
 
     private ModelDemand demand(Averages averages) {
-        double fast = averages.offeredFast / warmed(FAST_SECONDS);
-        double slow = averages.offeredSlow / warmed(SLOW_SECONDS);
+        double fast = averages.offeredFast / warmUpFraction(FAST_WINDOW_SECONDS);
+        double slow = averages.offeredSlow / warmUpFraction(SLOW_WINDOW_SECONDS);
         double seconds = secondsPerRequest(averages);
         return new ModelDemand(fast, fast * seconds, slow * seconds);
     }
 
-    /** Averages begin at 0; dividing by this makes up for the time that they have not yet seen. */
-    private double warmed(double spanSeconds) {
-        double seconds = Math.max(1, (newestMillis - firstMillis) / 1_000.0);
-        return 1 - Math.exp(-seconds / spanSeconds);
+    /** Returns the divisor that corrects an average for its start at 0 when records are few. */
+    private double warmUpFraction(double windowSeconds) {
+        double seconds = Math.max(1, (newestRecordMillis - firstRecordMillis) / 1_000.0);
+        return 1 - Math.exp(-seconds / windowSeconds);
     }
 
     private double secondsPerRequest(Averages averages) {
-        if (!runningKnown || all.servedSlow <= 0) {
+        if (!runningKnown || total.servedSlow <= 0) {
             return DEFAULT_SECONDS_PER_REQUEST;
         }
-        double meanSeconds = meanRunning / (all.servedSlow / warmed(SLOW_SECONDS));
-        if (averages.servedSlow <= 0 || averages.workSlow <= 0 || all.workSlow <= 0) {
+        double meanSeconds = meanRunning / (total.servedSlow / warmUpFraction(SLOW_WINDOW_SECONDS));
+        if (averages.servedSlow <= 0
+                || averages.weightedTokensSlow <= 0
+                || total.weightedTokensSlow <= 0) {
             return meanSeconds;
         }
-        double work = averages.workSlow / averages.servedSlow;
-        double meanWork = all.workSlow / all.servedSlow;
-        return meanSeconds * work / meanWork;
+        double tokensPerRequest = averages.weightedTokensSlow / averages.servedSlow;
+        double meanTokensPerRequest = total.weightedTokensSlow / total.servedSlow;
+        return meanSeconds * tokensPerRequest / meanTokensPerRequest;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/placement/ErlangLoss.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/ErlangLoss.java
@@ -1,24 +1,25 @@
 package org.tamaracktrack.core.placement;
 
-/** The share of requests that find all slots of a target busy, by Erlang's loss formula. */
+/** Computes the share of requests that find all slots of a target busy, by the Erlang B formula. */
 final class ErlangLoss {
     private ErlangLoss() {}
 
     /**
-     * Returns the share.
+     * Returns the probability that an arriving request is rejected because all slots are busy.
      *
-     * @param slots how many requests run at once
-     * @param offered how many would run at once if none were turned away
-     * @return the share that is turned away, 0 to 1
+     * @param slots the number of requests that can run concurrently
+     * @param offeredLoad the mean number of requests that would run concurrently if none were
+     *     rejected
+     * @return the probability, 0 to 1
      */
-    static double of(int slots, double offered) {
-        if (offered <= 0) {
+    static double blockingProbability(int slots, double offeredLoad) {
+        if (offeredLoad <= 0) {
             return 0;
         }
-        double share = 1;
+        double probability = 1;
         for (int slot = 1; slot <= slots; slot++) {
-            share = offered * share / (slot + offered * share);
+            probability = offeredLoad * probability / (slot + offeredLoad * probability);
         }
-        return share;
+        return probability;
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/placement/GreedyPlacement.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/GreedyPlacement.java
@@ -8,14 +8,17 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.log.LogEntry.Placement;
 
-/** Gives the memory to the models with the most demand per copy, at each tick anew. */
+/**
+ * Recomputes the additional copies on each call and gives free memory to the models with the
+ * highest demand per copy.
+ */
 public final class GreedyPlacement implements PlacementPolicy {
     private record Candidate(ModelId model, double slotsPerCopy) {}
 
     private GreedyPlacement() {}
 
     /**
-     * Returns the policy.
+     * Returns a greedy policy.
      *
      * @return the policy
      */
@@ -27,25 +30,26 @@
     public void improve(Layout layout, PlanningView view) {
         Layout before = layout.copy();
         before.placements().stream()
-                .filter(copy -> layout.copies(copy.model()) > 1)
+                .filter(copy -> layout.copyCount(copy.model()) > 1)
                 .forEach(copy -> layout.remove(copy.model(), copy.target()));
-        Homes.ensure(layout, view);
+        MinimumPlacement.ensure(layout, view);
         fill(layout, before, view);
     }
 
     private static void fill(Layout layout, Layout before, PlanningView view) {
         PriorityQueue<Candidate> candidates =
                 new PriorityQueue<>(
-                        Comparator.comparingDouble((Candidate one) -> -one.slotsPerCopy())
+                        Comparator.comparingDouble(
+                                        (Candidate candidate) -> -candidate.slotsPerCopy())
                                 .thenComparing(Candidate::model));
         view.demand().keySet().stream()
                 .filter(view.configuration().models()::containsKey)
                 .map(model -> new Candidate(model, slotsPerCopy(layout, view, model)))
-                .filter(one -> one.slotsPerCopy() > 0)
+                .filter(candidate -> candidate.slotsPerCopy() > 0)
                 .forEach(candidates::add);
         while (!candidates.isEmpty()) {
             ModelId model = candidates.remove().model();
-            copy(layout, before, view, model)
+            nextCopy(layout, before, view, model)
                     .ifPresent(
                             copy -> {
                                 layout.put(copy);
@@ -56,13 +60,13 @@
     }
 
     private static double slotsPerCopy(Layout layout, PlanningView view, ModelId model) {
-        return view.demand(model).slots() / Math.max(1, layout.copies(model));
+        return view.demand(model).slots() / Math.max(1, layout.copyCount(model));
     }
 
-    private static Optional<Placement> copy(
+    private static Optional<Placement> nextCopy(
             Layout layout, Layout before, PlanningView view, ModelId model) {
-        List<TargetId> planned = before.homes(model);
-        return Copies.fitting(layout, view, model).stream()
+        List<TargetId> planned = before.targetsOf(model);
+        return CopyCandidates.fittingCopies(layout, view, model).stream()
                 .min(Comparator.comparing(copy -> !planned.contains(copy.target())));
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/placement/HysteresisPlacement.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/HysteresisPlacement.java
@@ -13,156 +13,168 @@
 import org.tamaracktrack.core.report.MoveCause;
 
 /**
- * Adds a copy where demand asks for one and it pays for its moves, and drops one only to make room.
+ * Adds copies of models with rejected demand if the benefit exceeds the cost of the moves, and
+ * removes copies only to make room.
  *
- * <p>A change pays when the requests that it lets be served within the payback time outweigh its
- * moves times the operator's weight of a move, and goes on doing so for longer than the moves take.
+ * <p>A change is profitable if the additional requests served within the payback time exceed the
+ * number of moves times the configured cost of a move. It is made once it has been profitable for
+ * longer than its moves take.
  */
 public final class HysteresisPlacement implements PlacementPolicy {
-    private static final int CHANGES_PER_TICK = 4;
-    private static final int MODELS_CONSIDERED = 12;
-    private static final double LEAST_LOST_PER_SECOND = 0.01;
-    private static final long LOAD_MILLIS = 5_000;
+    private static final int MAX_CHANGES_PER_TICK = 4;
+    private static final int MAX_MODELS_PER_TICK = 12;
+    private static final double MIN_LOST_PER_SECOND = 0.01;
+    private static final long EXPECTED_LOAD_MILLIS = 5_000;
 
     private final long paybackMillis;
-    private final double patience;
-    private final Map<ModelId, Long> payingSince = new HashMap<>();
+    private final double persistenceFactor;
+    private final Map<ModelId, Long> profitableSince = new HashMap<>();
 
-    /** A further copy, what has to go for it, and what it is worth. */
-    private record Change(Placement added, List<ModelId> dropped, int moves, double worth) {}
+    /** An additional copy, the models removed from its target to make room, and the net gain. */
+    private record CopyChange(Placement added, List<ModelId> dropped, int moves, double netGain) {}
 
-    private HysteresisPlacement(long paybackMillis, double patience) {
+    private HysteresisPlacement(long paybackMillis, double persistenceFactor) {
         this.paybackMillis = paybackMillis;
-        this.patience = patience;
+        this.persistenceFactor = persistenceFactor;
     }
 
     /**
-     * Returns the policy.
+     * Returns a policy with hysteresis.
      *
-     * @param paybackMillis the time over which the gain of a copy is weighed against its moves
-     * @param patience how long a change has to pay before it is made, in times of what its moves
-     *     take
+     * @param paybackMillis the time over which the additional requests served are weighed against
+     *     the cost of the moves
+     * @param persistenceFactor how long a change must be profitable before it is made, as a
+     *     multiple of the expected duration of its moves
      * @return the policy
      */
-    public static HysteresisPlacement of(long paybackMillis, double patience) {
-        return new HysteresisPlacement(paybackMillis, patience);
+    public static HysteresisPlacement of(long paybackMillis, double persistenceFactor) {
+        return new HysteresisPlacement(paybackMillis, persistenceFactor);
     }
 
     @Override
     public void improve(Layout layout, PlanningView view) {
-        if (!Homes.ensure(layout, view).isEmpty()) {
+        if (!MinimumPlacement.ensure(layout, view).isEmpty()) {
             return;
         }
-        ExpectedService service = ExpectedService.of(layout, view);
-        List<ModelId> busiest = busiest(service, view);
-        payingSince.keySet().retainAll(busiest);
+        ExpectedLoss expectedLoss = ExpectedLoss.of(layout, view);
+        List<ModelId> models = modelsWithMostLoss(expectedLoss, view);
+        profitableSince.keySet().retainAll(models);
         int changes = 0;
-        for (ModelId model : busiest) {
-            if (changes < CHANGES_PER_TICK && improve(layout, view, service, model)) {
+        for (ModelId model : models) {
+            if (changes < MAX_CHANGES_PER_TICK && improve(layout, view, expectedLoss, model)) {
                 changes++;
-                service = ExpectedService.of(layout, view);
+                expectedLoss = ExpectedLoss.of(layout, view);
             }
         }
     }
 
-    private static List<ModelId> busiest(ExpectedService service, PlanningView view) {
+    private static List<ModelId> modelsWithMostLoss(ExpectedLoss expectedLoss, PlanningView view) {
         Map<ModelId, Double> lost = new HashMap<>();
         view.demand().keySet().stream()
                 .filter(view.configuration().models()::containsKey)
-                .forEach(model -> lost.put(model, service.lost(model)));
+                .forEach(model -> lost.put(model, expectedLoss.lostPerSecond(model)));
         return lost.entrySet().stream()
-                .filter(one -> one.getValue() > LEAST_LOST_PER_SECOND)
+                .filter(entry -> entry.getValue() > MIN_LOST_PER_SECOND)
                 .sorted(
                         Map.Entry.<ModelId, Double>comparingByValue()
                                 .reversed()
                                 .thenComparing(Map.Entry.comparingByKey()))
-                .limit(MODELS_CONSIDERED)
+                .limit(MAX_MODELS_PER_TICK)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
     private boolean improve(
-            Layout layout, PlanningView view, ExpectedService service, ModelId model) {
-        Optional<Change> best =
-                Copies.apart(layout, view, model).stream()
-                        .flatMap(target -> change(layout, view, service, model, target).stream())
-                        .filter(change -> change.worth() > 0)
-                        .max(Comparator.comparingDouble(Change::worth));
+            Layout layout, PlanningView view, ExpectedLoss expectedLoss, ModelId model) {
+        Optional<CopyChange> best =
+                CopyCandidates.targetsBySeparation(layout, view, model).stream()
+                        .flatMap(
+                                target ->
+                                        change(layout, view, expectedLoss, model, target).stream())
+                        .filter(change -> change.netGain() > 0)
+                        .max(Comparator.comparingDouble(CopyChange::netGain));
         if (best.isEmpty()) {
-            payingSince.remove(model);
+            profitableSince.remove(model);
             return false;
         }
-        if (!paidLongEnough(view, model, best.get())) {
+        if (!isProfitableLongEnough(view, model, best.get())) {
             return false;
         }
         apply(layout, best.get());
         return true;
     }
 
-    // Demand that rises and falls within the time of a load would have every peak answered by a
-    // copy
-    // that comes too late and then costs another move; a change that has paid for longer than its
-    // moves take is likely to go on paying.
-    private boolean paidLongEnough(PlanningView view, ModelId model, Change change) {
-        long since = payingSince.computeIfAbsent(model, unused -> view.nowMillis());
+    // Demand that rises and falls within the time of a load would cause a copy for every peak,
+    // which is ready too late and then costs another move. A change that has been profitable for
+    // longer than its moves take is likely to remain so.
+    private boolean isProfitableLongEnough(PlanningView view, ModelId model, CopyChange change) {
+        long since = profitableSince.computeIfAbsent(model, unused -> view.nowMillis());
         double loadsPerSecond = view.configuration().weightStore().loadsPerSecond();
-        long takesMillis = LOAD_MILLIS + (long) (1_000 * change.moves() / loadsPerSecond);
-        return change.moves() == 0 || view.nowMillis() - since >= patience * takesMillis;
+        long expectedMillis =
+                EXPECTED_LOAD_MILLIS + (long) (1_000 * change.moves() / loadsPerSecond);
+        return change.moves() == 0
+                || view.nowMillis() - since >= persistenceFactor * expectedMillis;
     }
 
-    private static void apply(Layout layout, Change change) {
+    private static void apply(Layout layout, CopyChange change) {
         TargetId target = change.added().target();
         change.dropped().forEach(model -> layout.remove(model, target));
         layout.put(change.added());
     }
 
-    private Optional<Change> change(
+    private Optional<CopyChange> change(
             Layout layout,
             PlanningView view,
-            ExpectedService service,
+            ExpectedLoss expectedLoss,
             ModelId model,
             TargetId target) {
-        Placement added = layout.whole(model, target, MoveCause.DEMAND);
-        return roomFor(layout, view, added)
+        Placement added = layout.copyWithAllAdapters(model, target, MoveCause.DEMAND);
+        return modelsToRemove(layout, view, added)
                 .map(
                         dropped -> {
                             int moves = loads(view, added) + unloads(layout, dropped, target);
-                            double served =
-                                    service.gain(model, target, dropped) * paybackMillis / 1_000;
-                            return new Change(
+                            double additionallyServed =
+                                    expectedLoss.gain(model, target, dropped)
+                                            * paybackMillis
+                                            / 1_000;
+                            return new CopyChange(
                                     added,
                                     dropped,
                                     moves,
-                                    served - view.configuration().moveCost() * moves);
+                                    additionallyServed - view.configuration().moveCost() * moves);
                         });
     }
 
-    /** Returns the models that have to go; empty when there is no room whatever goes. */
-    private static Optional<List<ModelId>> roomFor(
+    /**
+     * Returns the models to remove to make room; empty if removing all candidates is not enough.
+     */
+    private static Optional<List<ModelId>> modelsToRemove(
             Layout layout, PlanningView view, Placement added) {
-        List<Placement> left = new ArrayList<>(layout.on(added.target()));
-        left.add(added);
+        List<Placement> remaining = new ArrayList<>(layout.copiesOn(added.target()));
+        remaining.add(added);
         List<ModelId> dropped = new ArrayList<>();
-        List<Placement> extras =
-                layout.on(added.target()).stream()
-                        .filter(copy -> layout.copies(copy.model()) > 1)
+        List<Placement> removable =
+                layout.copiesOn(added.target()).stream()
+                        .filter(copy -> layout.copyCount(copy.model()) > 1)
                         .sorted(
                                 Comparator.comparingDouble(
-                                        copy -> worthKeeping(layout, view, copy.model())))
+                                        copy -> demandPerCopy(layout, view, copy.model())))
                         .toList();
-        for (Placement extra : extras) {
-            if (layout.fitsInOrder(added.target(), left)) {
+        for (Placement extra : removable) {
+            if (layout.fitsLargestFirst(added.target(), remaining)) {
                 break;
             }
-            left.remove(extra);
+            remaining.remove(extra);
             dropped.add(extra.model());
         }
-        return layout.fitsInOrder(added.target(), left) ? Optional.of(dropped) : Optional.empty();
+        return layout.fitsLargestFirst(added.target(), remaining)
+                ? Optional.of(dropped)
+                : Optional.empty();
     }
 
-    private static double worthKeeping(Layout layout, PlanningView view, ModelId model) {
+    private static double demandPerCopy(Layout layout, PlanningView view, ModelId model) {
         ModelDemand demand = view.demand(model);
-        return Math.max(demand.slots(), demand.lastingSlots()) / layout.copies(model);
+        return Math.max(demand.slots(), demand.longTermSlots()) / layout.copyCount(model);
     }
 
     private static int loads(PlanningView view, Placement added) {
@@ -173,7 +185,9 @@
                         ? 0
                         : 1;
         long adapters =
-                added.adapters().stream().filter(one -> !status.adapters().contains(one)).count();
+                added.adapters().stream()
+                        .filter(adapter -> !status.adapters().contains(adapter))
+                        .count();
         return model + (int) adapters;
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/placement/Layout.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/Layout.java
@@ -21,14 +21,14 @@
 import org.tamaracktrack.core.log.LogEntry.Placement;
 import org.tamaracktrack.core.report.MoveCause;
 
-/** A set of planned copies that can be changed, and the memory that it takes. */
+/** A mutable set of planned copies that tracks the memory they take on each target. */
 public final class Layout {
     private final Configuration configuration;
     private final Map<TargetId, Map<ModelId, Placement>> byTarget = new TreeMap<>();
     private final Map<ModelId, TreeSet<TargetId>> byModel = new TreeMap<>();
     private final Map<ModelId, List<AdapterId>> adapters;
-    private final Set<ModelId> shared = new TreeSet<>();
-    private final Set<Place> avoided = new HashSet<>();
+    private final Set<ModelId> loadedOnDemand = new TreeSet<>();
+    private final Set<ModelOnTarget> excluded = new HashSet<>();
 
     private Layout(Configuration configuration, Map<ModelId, List<AdapterId>> adapters) {
         this.configuration = configuration;
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Returns a layout.
+     * Returns a layout with the given copies.
      *
      * @param configuration the configuration that gives the sizes
      * @param placements the copies
@@ -65,12 +65,12 @@
     public Layout copy() {
         Layout copy = new Layout(configuration, adapters);
         placements().forEach(copy::put);
-        copy.avoided.addAll(avoided);
+        copy.excluded.addAll(excluded);
         return copy;
     }
 
     /**
-     * Adds a copy, or replaces the one of the same model on the same target.
+     * Adds a copy, or replaces the copy of the same model on the same target.
      *
      * @param placement the copy
      */
@@ -93,50 +93,51 @@
     }
 
     /**
-     * A model on a target.
+     * A pair of a model and a target.
      *
      * @param model the model
      * @param target the target
      */
-    record Place(ModelId model, TargetId target) {}
+    record ModelOnTarget(ModelId model, TargetId target) {}
 
     /**
-     * Keeps a model from being placed on a target.
+     * Excludes a target from the placement of a model.
      *
      * @param place the model and the target
      */
-    void avoid(Place place) {
-        avoided.add(place);
+    void exclude(ModelOnTarget place) {
+        excluded.add(place);
     }
 
     /**
-     * Returns whether a model is kept from being placed on a target.
+     * Returns whether a target is excluded from the placement of a model.
      *
      * @param model the model
      * @param target the target
-     * @return true when it is
+     * @return true if it is excluded
      */
-    boolean avoids(ModelId model, TargetId target) {
-        return avoided.contains(new Place(model, target));
+    boolean isExcluded(ModelId model, TargetId target) {
+        return excluded.contains(new ModelOnTarget(model, target));
     }
 
     /**
-     * Marks a model as one that has no place of its own, since memory can't hold them all.
+     * Marks a model to be loaded on demand, without a planned copy, since memory can't hold all
+     * models.
      *
      * @param model the model
      */
-    void share(ModelId model) {
-        shared.add(model);
+    void markLoadedOnDemand(ModelId model) {
+        loadedOnDemand.add(model);
     }
 
     /**
-     * Returns whether a model has no place of its own, since memory can't hold them all.
+     * Returns whether a model is loaded on demand only, without a planned copy.
      *
      * @param model the model
-     * @return true when it is loaded on demand only
+     * @return true if it is marked and has no planned copy
      */
-    boolean shares(ModelId model) {
-        return shared.contains(model) && copies(model) == 0;
+    boolean isLoadedOnDemand(ModelId model) {
+        return loadedOnDemand.contains(model) && copyCount(model) == 0;
     }
 
     /**
@@ -145,7 +146,7 @@
      * @param target the target
      * @return the copies
      */
-    public List<Placement> on(TargetId target) {
+    public List<Placement> copiesOn(TargetId target) {
         return List.copyOf(byTarget.getOrDefault(target, Map.of()).values());
     }
 
@@ -161,27 +162,27 @@
     }
 
     /**
-     * Returns where a model has copies.
+     * Returns the targets on which a model has copies.
      *
      * @param model the model
      * @return the targets
      */
-    public List<TargetId> homes(ModelId model) {
+    public List<TargetId> targetsOf(ModelId model) {
         return List.copyOf(byModel.getOrDefault(model, new TreeSet<>()));
     }
 
     /**
-     * Returns how many copies a model has.
+     * Returns the number of copies of a model.
      *
      * @param model the model
-     * @return how many
+     * @return the number of copies
      */
-    public int copies(ModelId model) {
+    public int copyCount(ModelId model) {
         return byModel.getOrDefault(model, new TreeSet<>()).size();
     }
 
     /**
-     * Returns every copy, by target and in the order in which they were planned.
+     * Returns all copies, ordered by target and then in the order in which they were added.
      *
      * @return the copies
      */
@@ -197,11 +198,11 @@
      * Returns a copy of a model with all its adapters.
      *
      * @param model the model
-     * @param target where
-     * @param cause why
-     * @return the copy; not yet in the layout
+     * @param target the target
+     * @param cause the cause of the copy
+     * @return the copy, which is not added to the layout
      */
-    public Placement whole(ModelId model, TargetId target, MoveCause cause) {
+    public Placement copyWithAllAdapters(ModelId model, TargetId target, MoveCause cause) {
         return new Placement(model, target, adaptersOf(model), cause.text());
     }
 
@@ -216,52 +217,53 @@
     }
 
     /**
-     * Returns whether a copy fits beside the others on its target.
+     * Returns whether a copy fits on its target together with the copies of other models there.
      *
      * @param placement the copy
-     * @return true when it fits and is not to be avoided
+     * @return true if it fits and its target is not excluded for its model
      */
     public boolean fits(Placement placement) {
-        if (avoids(placement.model(), placement.target())) {
+        if (isExcluded(placement.model(), placement.target())) {
             return false;
         }
-        List<Placement> wanted = new ArrayList<>(on(placement.target()));
+        List<Placement> wanted = new ArrayList<>(copiesOn(placement.target()));
         wanted.removeIf(copy -> copy.model().equals(placement.model()));
         wanted.add(placement);
-        return fitsInOrder(placement.target(), wanted);
+        return fitsLargestFirst(placement.target(), wanted);
     }
 
     /**
-     * Returns whether everything planned for a target fits.
+     * Returns whether the copies planned for a target fit, in any arrangement.
      *
      * @param target the target
-     * @return true when it fits; false also for a target that is not configured
+     * @return true if they fit; false for a target that is not configured
      */
     public boolean fits(TargetId target) {
-        return fits(target, on(target));
+        return fits(target, copiesOn(target));
     }
 
     /**
-     * Returns whether copies fit on a target in the order in which targets place them.
+     * Returns whether copies fit on a target when they are placed in descending order of size, as
+     * targets place them.
      *
      * @param target the target
      * @param placements the copies
-     * @return true when they fit
+     * @return true if they fit; false for a target that is not configured
      */
-    public boolean fitsInOrder(TargetId target, Collection<Placement> placements) {
+    public boolean fitsLargestFirst(TargetId target, Collection<Placement> placements) {
         Configuration.Target configured = configuration.targets().get(target);
         return configured != null
-                && AcceleratorPacking.fitsInOrder(
+                && AcceleratorPacking.fitsLargestFirst(
                         configured.accelerators(),
                         placements.stream().map(this::mebibytes).toList());
     }
 
     /**
-     * Returns whether copies fit on a target in any arrangement.
+     * Returns whether any arrangement of the copies fits on a target.
      *
      * @param target the target
      * @param placements the copies
-     * @return true when they fit
+     * @return true if they fit; false for a target that is not configured
      */
     public boolean fits(TargetId target, Collection<Placement> placements) {
         Configuration.Target configured = configuration.targets().get(target);
@@ -272,10 +274,10 @@
     }
 
     /**
-     * Returns the memory that a copy takes with its adapters.
+     * Returns the memory that a copy and its adapters take.
      *
      * @param placement the copy
-     * @return mebibytes; 0 for a model that is not configured
+     * @return the size in MiB; parts that are not configured count as 0
      */
     public long mebibytes(Placement placement) {
         Configuration.Model model = configuration.models().get(placement.model());
@@ -289,17 +291,20 @@
     }
 
     /**
-     * Returns the memory that is free for weights on a target.
+     * Returns the memory on a target that is neither planned for copies nor set aside for KV cache.
      *
      * @param target the target
-     * @return mebibytes
+     * @return the memory in MiB, which is negative if the target is overcommitted
      */
     public long freeMebibytes(TargetId target) {
         Configuration.Target configured = configuration.targets().get(target);
         long total =
                 configured.accelerators().stream()
-                        .mapToLong(one -> one.memoryMebibytes() - one.cacheMebibytes())
+                        .mapToLong(
+                                accelerator ->
+                                        accelerator.memoryMebibytes()
+                                                - accelerator.cacheMebibytes())
                         .sum();
-        return total - on(target).stream().mapToLong(this::mebibytes).sum();
+        return total - copiesOn(target).stream().mapToLong(this::mebibytes).sum();
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/placement/Homes.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/MinimumPlacement.java
@@ -15,91 +15,95 @@
 import org.tamaracktrack.core.log.LogEntry.Placement;
 import org.tamaracktrack.core.report.MoveCause;
 
-/** Gives every model one copy before any has a second, and every adapter one place. */
-final class Homes {
+/**
+ * Ensures that each model has at least one copy and each adapter is on at least one copy of its
+ * base model, as far as memory allows.
+ */
+final class MinimumPlacement {
     private final Layout layout;
     private final PlanningView view;
-    private final List<TargetId> usable;
+    private final List<TargetId> usableEngines;
 
-    private Homes(Layout layout, PlanningView view, List<TargetId> usable) {
+    private MinimumPlacement(Layout layout, PlanningView view, List<TargetId> usable) {
         this.layout = layout;
         this.view = view;
-        this.usable = usable;
+        this.usableEngines = usable;
     }
 
     /**
-     * Adds the copies that are missing to a layout.
+     * Adds the missing copies and adapters to a layout.
      *
      * @param layout the layout, changed in place
-     * @param view what is known
-     * @return the models for which no memory was found
+     * @param view the configuration, target states and demand to plan from
+     * @return the models that fit on no target
      */
     static List<ModelId> ensure(Layout layout, PlanningView view) {
-        Homes homes = new Homes(layout, view, usable(view));
-        List<ModelId> homeless = homes.placeModels();
-        homes.placeAdapters();
-        homes.shareRoom(homeless);
-        return homeless;
-    }
-
-    // When memory can't hold every model, planned copies that fill it leave no room in which the
-    // rest could be loaded for a waiting request: they would be refused for good. The place of the
-    // model with the least demand is left to be shared; targets swap copies there as requests ask.
-    private void shareRoom(List<ModelId> homeless) {
-        Optional<ModelId> largest = homeless.stream().max(Comparator.comparingLong(this::size));
+        MinimumPlacement placement = new MinimumPlacement(layout, view, usableEngines(view));
+        List<ModelId> unplaced = placement.placeModels();
+        placement.placeAdapters();
+        placement.reserveSharedMemory(unplaced);
+        return unplaced;
+    }
+
+    // When memory can't hold every model, planned copies that fill it leave no memory in which the
+    // remaining models can be loaded for a waiting request, and such requests would always be
+    // refused. The memory of the copies with the least demand is left unplanned; targets load and
+    // evict models there on request.
+    private void reserveSharedMemory(List<ModelId> unplaced) {
+        Optional<ModelId> largest = unplaced.stream().max(Comparator.comparingLong(this::size));
         largest.ifPresent(
                 model -> {
-                    homeless.forEach(layout::share);
-                    roomBySharing(model)
+                    unplaced.forEach(layout::markLoadedOnDemand);
+                    cheapestRemoval(model)
                             .forEach(
                                     copy -> {
                                         layout.remove(copy.model(), copy.target());
-                                        layout.share(copy.model());
+                                        layout.markLoadedOnDemand(copy.model());
                                     });
                 });
     }
 
-    private List<Placement> roomBySharing(ModelId model) {
-        return usable.stream()
-                .map(target -> leastAsked(model, target))
+    private List<Placement> cheapestRemoval(ModelId model) {
+        return usableEngines.stream()
+                .map(target -> removalsFor(model, target))
                 .flatMap(Optional::stream)
-                .min(Comparator.comparingDouble(this::lastingSlots))
+                .min(Comparator.comparingDouble(this::longTermSlots))
                 .orElse(List.of());
     }
 
-    private double lastingSlots(List<Placement> copies) {
-        return copies.stream().mapToDouble(copy -> view.demand(copy.model()).lastingSlots()).sum();
+    private double longTermSlots(List<Placement> copies) {
+        return copies.stream().mapToDouble(copy -> view.demand(copy.model()).longTermSlots()).sum();
     }
 
-    /** Returns the copies to give up on a target for a model; empty when even all are too few. */
-    private Optional<List<Placement>> leastAsked(ModelId model, TargetId target) {
-        List<Placement> left = new ArrayList<>(layout.on(target));
-        List<Placement> order =
-                left.stream()
+    /** Returns the copies to remove from a target so that a model fits; empty if it can't fit. */
+    private Optional<List<Placement>> removalsFor(ModelId model, TargetId target) {
+        List<Placement> remaining = new ArrayList<>(layout.copiesOn(target));
+        List<Placement> byDemand =
+                remaining.stream()
                         .sorted(
                                 Comparator.comparingDouble(
                                                 (Placement copy) ->
-                                                        view.demand(copy.model()).lastingSlots())
+                                                        view.demand(copy.model()).longTermSlots())
                                         .thenComparing(Placement::model))
                         .toList();
-        List<Placement> given = new ArrayList<>();
-        left.add(layout.whole(model, target, MoveCause.HOME));
-        for (Placement copy : order) {
-            if (!layout.fitsInOrder(target, left)) {
-                left.remove(copy);
-                given.add(copy);
+        List<Placement> removed = new ArrayList<>();
+        remaining.add(layout.copyWithAllAdapters(model, target, MoveCause.HOME));
+        for (Placement copy : byDemand) {
+            if (!layout.fitsLargestFirst(target, remaining)) {
+                remaining.remove(copy);
+                removed.add(copy);
             }
         }
-        return layout.fitsInOrder(target, left) ? Optional.of(given) : Optional.empty();
+        return layout.fitsLargestFirst(target, remaining) ? Optional.of(removed) : Optional.empty();
     }
 
     /**
-     * Returns the engines on which copies may be placed.
+     * Returns the engines on which copies can be placed.
      *
-     * @param view what is known
-     * @return the targets, in order
+     * @param view the configuration, target states and demand to plan from
+     * @return the targets in order of their ids
      */
-    static List<TargetId> usable(PlanningView view) {
+    static List<TargetId> usableEngines(PlanningView view) {
         return view.configuration().targets().values().stream()
                 .filter(target -> target.kind() == Configuration.TargetKind.ENGINE)
                 .map(Configuration.Target::id)
@@ -111,24 +115,25 @@
     private List<ModelId> placeModels() {
         List<ModelId> missing =
                 view.configuration().models().keySet().stream()
-                        .filter(model -> layout.copies(model) == 0)
+                        .filter(model -> layout.copyCount(model) == 0)
                         .sorted()
                         .sorted(Comparator.comparingLong(this::size).reversed())
                         .sorted(Comparator.comparing(this::notResidentAnywhere))
                         .toList();
-        List<ModelId> homeless = new ArrayList<>();
-        missing.stream().filter(model -> !place(model)).forEach(homeless::add);
-        return homeless;
+        List<ModelId> unplaced = new ArrayList<>();
+        missing.stream().filter(model -> !place(model)).forEach(unplaced::add);
+        return unplaced;
     }
 
     private long size(ModelId model) {
-        return layout.mebibytes(layout.whole(model, TargetId.of("any"), MoveCause.HOME));
+        return layout.mebibytes(
+                layout.copyWithAllAdapters(model, TargetId.of("any"), MoveCause.HOME));
     }
 
-    // A copy that is already in memory costs no move; placing it first keeps others from taking its
-    // room.
+    // Planning a copy that is already in memory needs no move. Models with such a copy come first
+    // so that no other model takes that memory.
     private boolean notResidentAnywhere(ModelId model) {
-        return usable.stream().noneMatch(target -> residentOrLoading(model, target));
+        return usableEngines.stream().noneMatch(target -> residentOrLoading(model, target));
     }
 
     private boolean residentOrLoading(ModelId model, TargetId target) {
@@ -138,74 +143,78 @@
 
     private boolean place(ModelId model) {
         Optional<Placement> placement =
-                best(model, target -> layout.whole(model, target, MoveCause.HOME))
-                        .or(() -> best(model, target -> bare(model, target)))
-                        .or(() -> afterDroppingExtras(model))
-                        .or(() -> afterDroppingAdapters(model));
+                bestPlacement(
+                                model,
+                                target -> layout.copyWithAllAdapters(model, target, MoveCause.HOME))
+                        .or(() -> bestPlacement(model, target -> withoutAdapters(model, target)))
+                        .or(() -> afterRemovingAdditionalCopies(model))
+                        .or(() -> afterRemovingAdapters(model));
         placement.ifPresent(layout::put);
         return placement.isPresent();
     }
 
-    private static Placement bare(ModelId model, TargetId target) {
+    private static Placement withoutAdapters(ModelId model, TargetId target) {
         return new Placement(model, target, List.of(), MoveCause.HOME.text());
     }
 
-    private Optional<Placement> best(ModelId model, Function<TargetId, Placement> copy) {
-        return usable.stream()
+    private Optional<Placement> bestPlacement(ModelId model, Function<TargetId, Placement> copy) {
+        return usableEngines.stream()
                 .map(copy)
                 .filter(layout::fits)
                 .min(
                         Comparator.comparing(
-                                        (Placement one) -> !residentOrLoading(model, one.target()))
-                                .thenComparingDouble(one -> expectedLoad(one.target()))
-                                .thenComparingLong(one -> -layout.freeMebibytes(one.target()))
+                                        (Placement placement) ->
+                                                !residentOrLoading(model, placement.target()))
+                                .thenComparingDouble(placement -> expectedLoad(placement.target()))
+                                .thenComparingLong(
+                                        placement -> -layout.freeMebibytes(placement.target()))
                                 .thenComparing(Placement::target));
     }
 
     private double expectedLoad(TargetId target) {
         double slots =
-                layout.on(target).stream()
+                layout.copiesOn(target).stream()
                         .map(Placement::model)
                         .mapToDouble(
                                 model ->
-                                        view.demand(model).lastingSlots()
-                                                / Math.max(1, layout.copies(model)))
+                                        view.demand(model).longTermSlots()
+                                                / Math.max(1, layout.copyCount(model)))
                         .sum();
         return slots / Math.max(1, view.configuration().targets().get(target).concurrency());
     }
 
-    private Optional<Placement> afterDroppingExtras(ModelId model) {
-        return afterDropping(
+    private Optional<Placement> afterRemovingAdditionalCopies(ModelId model) {
+        return afterRemoving(
                 model,
                 target ->
-                        layout.on(target).stream()
-                                .filter(copy -> layout.copies(copy.model()) > 1)
+                        layout.copiesOn(target).stream()
+                                .filter(copy -> layout.copyCount(copy.model()) > 1)
                                 .sorted(
                                         Comparator.comparingDouble(
-                                                copy -> view.demand(copy.model()).lastingSlots()))
+                                                copy -> view.demand(copy.model()).longTermSlots()))
                                 .toList(),
                 copy -> layout.remove(copy.model(), copy.target()));
     }
 
-    private Optional<Placement> afterDroppingAdapters(ModelId model) {
-        return afterDropping(
+    private Optional<Placement> afterRemovingAdapters(ModelId model) {
+        return afterRemoving(
                 model,
-                layout::on,
+                layout::copiesOn,
                 copy ->
                         layout.put(
                                 new Placement(
                                         copy.model(), copy.target(), List.of(), copy.cause())));
     }
 
-    private Optional<Placement> afterDropping(
+    private Optional<Placement> afterRemoving(
             ModelId model,
             Function<TargetId, List<Placement>> candidates,
-            Consumer<Placement> drop) {
-        for (TargetId target : usable) {
-            Placement placement = bare(model, target);
-            List<Placement> before = layout.on(target);
+            Consumer<Placement> remove) {
+        for (TargetId target : usableEngines) {
+            Placement placement = withoutAdapters(model, target);
+            List<Placement> before = layout.copiesOn(target);
             for (Placement copy : candidates.apply(target)) {
-                drop.accept(copy);
+                remove.accept(copy);
                 if (layout.fits(placement)) {
                     return Optional.of(placement);
                 }
@@ -221,7 +230,7 @@
 
     private void placeAdapters(ModelId model) {
         Set<AdapterId> placed =
-                layout.homes(model).stream()
+                layout.targetsOf(model).stream()
                         .map(target -> layout.get(model, target).orElseThrow())
                         .flatMap(copy -> copy.adapters().stream())
                         .collect(Collectors.toSet());
@@ -231,16 +240,16 @@
     }
 
     private void placeAdapter(ModelId model, AdapterId adapter) {
-        layout.homes(model).stream()
+        layout.targetsOf(model).stream()
                 .filter(view::usable)
                 .map(target -> layout.get(model, target).orElseThrow())
-                .map(copy -> with(copy, adapter))
+                .map(copy -> withAdapter(copy, adapter))
                 .filter(layout::fits)
                 .findFirst()
                 .ifPresent(layout::put);
     }
 
-    private static Placement with(Placement copy, AdapterId adapter) {
+    private static Placement withAdapter(Placement copy, AdapterId adapter) {
         List<AdapterId> adapters = new ArrayList<>(copy.adapters());
         adapters.add(adapter);
         return new Placement(
--- a/core/src/main/java/org/tamaracktrack/core/placement/PlacementKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/PlacementKind.java
@@ -2,32 +2,34 @@
 
 import java.util.Optional;
 
-/** The policies that the placement setting may name. */
+/** The values of the placement setting. */
 public enum PlacementKind {
-    /** Follows demand, but only where it pays for the moves. */
+    /** Follows demand only if the benefit exceeds the cost of the moves. */
     HYSTERESIS,
-    /** One home for each model and memory filled in turn, whatever the demand. */
+    /** Fills the memory with copies of all models in turn, regardless of demand. */
     STATIC,
     /** No plan: targets load on demand and evict the least recently used model. */
     LRU,
-    /** Follows demand at once, whatever the moves. */
+    /** Follows demand immediately, regardless of the number of moves. */
     GREEDY;
 
-    /** The time over which the gain of a copy is weighed against its moves. */
+    /** The time over which the benefit of a copy is weighed against the cost of its moves. */
     public static final long DEFAULT_PAYBACK_MILLIS = 120_000;
 
-    /** How long a change has to pay, in times of what its moves take. */
-    public static final double DEFAULT_PATIENCE = 1;
+    /** How long a change must be profitable, as a multiple of the duration of its moves. */
+    public static final double DEFAULT_PERSISTENCE_FACTOR = 1;
 
     /**
-     * Returns the policy.
+     * Returns a new policy of this kind with the default parameters.
      *
-     * @return the policy; empty for the kind that publishes no plan
+     * @return the policy; empty for {@link #LRU}, for which no plan is published
      */
     public Optional<PlacementPolicy> policy() {
         return switch (this) {
             case HYSTERESIS ->
-                    Optional.of(HysteresisPlacement.of(DEFAULT_PAYBACK_MILLIS, DEFAULT_PATIENCE));
+                    Optional.of(
+                            HysteresisPlacement.of(
+                                    DEFAULT_PAYBACK_MILLIS, DEFAULT_PERSISTENCE_FACTOR));
             case STATIC -> Optional.of(StaticPlacement.of());
             case GREEDY -> Optional.of(GreedyPlacement.of());
             case LRU -> Optional.empty();
--- a/core/src/main/java/org/tamaracktrack/core/placement/LoadPacer.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/PlanLoadRateLimiter.java
@@ -3,18 +3,18 @@
 import org.tamaracktrack.core.config.Configuration.WeightStoreLimits;
 
 /**
- * A token bucket for the loads that plans cause. Loads beyond the weight store's rate are turned
- * away there, and the targets that asked for them stand idle with memory reserved.
+ * Limits the rate of loads that plans cause, with a token bucket. The weight store rejects loads
+ * beyond its rate, and the targets of rejected loads would hold reserved memory without use.
  */
-final class LoadPacer {
+final class PlanLoadRateLimiter {
     private double tokens;
     private long filledAtMillis;
     private boolean started;
 
-    private LoadPacer() {}
+    private PlanLoadRateLimiter() {}
 
-    static LoadPacer full() {
-        return new LoadPacer();
+    static PlanLoadRateLimiter full() {
+        return new PlanLoadRateLimiter();
     }
 
     void refill(WeightStoreLimits limits, long nowMillis) {
@@ -27,9 +27,9 @@
         started = true;
     }
 
-    // A copy with more adapters than the bucket holds could never be paid for in advance; it goes
-    // when the bucket is full and leaves a debt.
-    boolean take(int loads, WeightStoreLimits limits) {
+    // A copy with more adapters than the bucket holds could never gather enough tokens. It is
+    // allowed when the bucket is full, and the token count becomes negative.
+    boolean tryAcquire(int loads, WeightStoreLimits limits) {
         if (loads == 0) {
             return true;
         }
--- a/core/src/main/java/org/tamaracktrack/core/placement/PlanRegister.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/PlanRegister.java
@@ -7,7 +7,7 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** The plan in force, derived from the records of the plan stream in offset order. */
+/** Derives the plan in force from the records of the plan stream, in offset order. */
 public final class PlanRegister {
     private final LeaseRegister leases;
     private Optional<LogEntry.PlanPublished> inForce = Optional.empty();
@@ -28,17 +28,17 @@
     }
 
     /**
-     * Takes the next record of the plan stream in.
+     * Applies the next record of the plan stream.
      *
      * @param record the record
-     * @return the plan that this record puts in force, if it does
+     * @return the plan in this record if the plan is now in force; empty otherwise
      */
     public Optional<LogEntry.PlanPublished> handle(LogRecord record) {
         leases.handle(record);
         if (!(record.entry() instanceof LogEntry.PlanPublished plan)) {
             return Optional.empty();
         }
-        if (!holds(plan, record)) {
+        if (!isPublishedUnderLeaseInForce(plan, record)) {
             refused++;
             return Optional.empty();
         }
@@ -47,11 +47,11 @@
         return inForce;
     }
 
-    // Two planners may each believe they are in charge: one was paused, its lease lapsed, another
-    // took over, and the first one's append arrives late. Moves would then go back and forth. The
-    // log orders the append after the new grant, so its term is not the one in force and every
-    // reader drops it alike.
-    private boolean holds(LogEntry.PlanPublished plan, LogRecord record) {
+    // Two planners may be active at the same time: one is paused, its lease expires, another takes
+    // over, and then the append of the first arrives. Accepting both would move copies back and
+    // forth. In the log this append follows the new lease, so its term is not in force and every
+    // reader rejects it alike.
+    private boolean isPublishedUnderLeaseInForce(LogEntry.PlanPublished plan, LogRecord record) {
         Optional<Lease> lease = leases.inForceAt(Duty.PLANNER, record.appendedAtMillis());
         return lease.filter(held -> held.holder().equals(plan.holder()))
                 .filter(held -> held.term() == plan.term())
@@ -61,32 +61,32 @@
     /**
      * Returns the plan in force.
      *
-     * @return the plan, if there is one
+     * @return the plan; empty if none has been in force yet
      */
     public Optional<LogEntry.PlanPublished> inForce() {
         return inForce;
     }
 
     /**
-     * Returns the offset of the plan in force.
+     * Returns the log offset of the plan in force.
      *
-     * @return the offset, or -1
+     * @return the offset, or -1 if there is no plan
      */
     public long inForceOffset() {
         return inForceOffset;
     }
 
     /**
-     * Returns how many plans were refused because their term was not in force.
+     * Returns the number of plans that were rejected because their term was not in force.
      *
-     * @return how many
+     * @return the number of rejected plans
      */
     public long refused() {
         return refused;
     }
 
     /**
-     * Returns the leases that the same records grant.
+     * Returns the leases that are granted in the same stream.
      *
      * @return the leases
      */
--- a/core/src/main/java/org/tamaracktrack/core/placement/Planner.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/Planner.java
@@ -19,17 +19,18 @@
 import org.tamaracktrack.core.report.MoveCause;
 
 /**
- * Goes from the plan in force towards the layout that the policy wants, in steps that are safe
- * whatever becomes of each: first add, then wait until the copy is seen ready, then drop.
+ * Computes successive plans that lead from the plan in force to the layout that the policy wants.
+ * Each step is safe even if the targets carry it out late or not at all: a copy is added first, and
+ * the copy that it replaces is removed only after the new one has been reported ready.
  */
 public final class Planner {
-    /** A target that restarts is back within this time, and its copies are worth waiting for. */
+    /** Longer than a restart of a target takes, so that its copies are not planned elsewhere. */
     public static final long DEFAULT_LOSS_GRACE_MILLIS = 15_000;
 
     private final PlacementPolicy policy;
     private final long lossGraceMillis;
-    private final LoadPacer pacer = LoadPacer.full();
-    private final StuckCopies stuck = StuckCopies.none();
+    private final PlanLoadRateLimiter loadRateLimiter = PlanLoadRateLimiter.full();
+    private final StuckCopies stuckCopies = StuckCopies.empty();
     private final Map<TargetId, Long> unreachableSince = new HashMap<>();
 
     private Planner(PlacementPolicy policy, long lossGraceMillis) {
@@ -40,7 +41,7 @@
     /**
      * Returns a planner.
      *
-     * @param policy decides which copies are wanted
+     * @param policy the policy that decides which copies are wanted
      * @param lossGraceMillis how long a target may be unreachable before its copies are planned
      *     elsewhere
      * @return the planner
@@ -54,59 +55,63 @@
      * Returns the next plan.
      *
      * @param inForce the copies of the plan in force
-     * @param view what is known
-     * @return the copies of the next plan; equal to those in force when nothing is to change
-     * @throws TamaracktrackException with {@code INVARIANT_BREACH} when the next plan would not fit
-     *     or would leave a model without a copy; the plan in force is then to be kept
+     * @param view the configuration, target states and demand to plan from
+     * @return the copies of the next plan; equal to those in force if no change is needed
+     * @throws TamaracktrackException with {@code INVARIANT_BREACH} if the next plan would not fit
+     *     in memory or would leave a model without a copy; the caller must then keep the plan in
+     *     force
      */
     public List<Placement> next(Collection<Placement> inForce, PlanningView view) {
         Objects.requireNonNull(view, "view is null");
-        pacer.refill(view.configuration().weightStore(), view.nowMillis());
-        Set<TargetId> gone = gone(inForce, view);
-        Layout kept = kept(inForce, gone, view);
-        stuck.observe(kept.placements(), view).forEach(kept::avoid);
-        Layout wanted = wanted(kept, view);
-        Set<ModelId> orphaned = orphaned(inForce, gone, kept);
-        Layout next = kept.copy();
+        loadRateLimiter.refill(view.configuration().weightStore(), view.nowMillis());
+        Set<TargetId> lost = lostTargets(inForce, view);
+        Layout remaining = remaining(inForce, lost, view);
+        stuckCopies.observe(remaining.placements(), view).forEach(remaining::exclude);
+        Layout wanted = wanted(remaining, view);
+        Set<ModelId> withoutCopy = modelsWithoutCopy(inForce, lost, remaining);
+        Layout next = remaining.copy();
         drop(next, wanted, view);
-        add(next, wanted, orphaned, view);
-        check(kept, wanted, next, view);
+        add(next, wanted, withoutCopy, view);
+        check(remaining, wanted, next, view);
         return next.placements();
     }
 
-    private Set<TargetId> gone(Collection<Placement> inForce, PlanningView view) {
+    private Set<TargetId> lostTargets(Collection<Placement> inForce, PlanningView view) {
         Set<TargetId> planned = inForce.stream().map(Placement::target).collect(Collectors.toSet());
         Set<TargetId> unreachable =
                 planned.stream()
-                        .filter(target -> !reachable(target, view))
+                        .filter(target -> !isReachable(target, view))
                         .collect(Collectors.toSet());
         unreachableSince.keySet().retainAll(unreachable);
         unreachable.forEach(target -> unreachableSince.putIfAbsent(target, view.nowMillis()));
-        return planned.stream().filter(target -> gone(target, view)).collect(Collectors.toSet());
+        return planned.stream().filter(target -> isLost(target, view)).collect(Collectors.toSet());
     }
 
-    private static boolean reachable(TargetId target, PlanningView view) {
+    private static boolean isReachable(TargetId target, PlanningView view) {
         TargetStatus status = view.targets().get(target);
         return status != null && status.reachable();
     }
 
-    private boolean gone(TargetId target, PlanningView view) {
+    private boolean isLost(TargetId target, PlanningView view) {
         Long since = unreachableSince.get(target);
-        boolean lost = since != null && view.nowMillis() - since >= lossGraceMillis;
-        return lost || !view.configuration().targets().containsKey(target);
+        boolean unreachableTooLong = since != null && view.nowMillis() - since >= lossGraceMillis;
+        return unreachableTooLong || !view.configuration().targets().containsKey(target);
     }
 
-    private static Layout kept(
-            Collection<Placement> inForce, Set<TargetId> gone, PlanningView view) {
+    private static Layout remaining(
+            Collection<Placement> inForce, Set<TargetId> lost, PlanningView view) {
         Configuration configuration = view.configuration();
-        List<Placement> still =
+        List<Placement> copies =
                 inForce.stream()
-                        .filter(copy -> !gone.contains(copy.target()))
+                        .filter(copy -> !lost.contains(copy.target()))
                         .filter(copy -> configuration.models().containsKey(copy.model()))
                         .map(copy -> withConfiguredAdapters(copy, configuration))
                         .toList();
-        Layout layout = Layout.of(configuration, still);
-        still.stream().map(Placement::target).distinct().forEach(one -> shrink(layout, one));
+        Layout layout = Layout.of(configuration, copies);
+        copies.stream()
+                .map(Placement::target)
+                .distinct()
+                .forEach(target -> removeUntilFits(layout, target));
         return layout;
     }
 
@@ -126,16 +131,16 @@
         return configured != null && configured.base().equals(model);
     }
 
-    // A configuration may make models larger or accelerators smaller, and the plan in force then no
-    // longer fits. Copies that the model has elsewhere go first.
-    private static void shrink(Layout layout, TargetId target) {
-        List<Placement> order =
-                layout.on(target).stream()
+    // A new configuration may make models larger or accelerators smaller, so that the plan in force
+    // no longer fits. Copies of models with the most other copies are removed first.
+    private static void removeUntilFits(Layout layout, TargetId target) {
+        List<Placement> mostCopiesFirst =
+                layout.copiesOn(target).stream()
                         .sorted(
                                 Comparator.comparingInt(
-                                        (Placement copy) -> -layout.copies(copy.model())))
+                                        (Placement copy) -> -layout.copyCount(copy.model())))
                         .toList();
-        for (Placement copy : order) {
+        for (Placement copy : mostCopiesFirst) {
             if (layout.fits(target)) {
                 return;
             }
@@ -143,59 +148,60 @@
         }
     }
 
-    private Layout wanted(Layout kept, PlanningView view) {
-        Layout wanted = kept.copy();
-        kept.placements().stream()
+    private Layout wanted(Layout remaining, PlanningView view) {
+        Layout wanted = remaining.copy();
+        remaining.placements().stream()
                 .filter(
                         copy ->
-                                leaving(copy.target(), view)
-                                        || kept.avoids(copy.model(), copy.target()))
+                                isLeaving(copy.target(), view)
+                                        || remaining.isExcluded(copy.model(), copy.target()))
                 .forEach(copy -> wanted.remove(copy.model(), copy.target()));
         policy.improve(wanted, view);
         return wanted;
     }
 
-    private static boolean leaving(TargetId target, PlanningView view) {
+    private static boolean isLeaving(TargetId target, PlanningView view) {
         TargetStatus status = view.targets().get(target);
         return status != null && status.leaving();
     }
 
-    private static Set<ModelId> orphaned(
-            Collection<Placement> inForce, Set<TargetId> gone, Layout kept) {
+    private static Set<ModelId> modelsWithoutCopy(
+            Collection<Placement> inForce, Set<TargetId> lost, Layout remaining) {
         return inForce.stream()
-                .filter(copy -> gone.contains(copy.target()))
+                .filter(copy -> lost.contains(copy.target()))
                 .map(Placement::model)
-                .filter(model -> kept.copies(model) == 0)
+                .filter(model -> remaining.copyCount(model) == 0)
                 .collect(Collectors.toSet());
     }
 
-    // A planned copy is not yet a loaded one: its load may fail or take minutes. Dropping the other
-    // copy before this one was seen ready would leave callers without the model meanwhile.
+    // A planned copy is not loaded yet: its load may fail or take minutes. Removing the other copy
+    // before this one is reported ready would leave the model unserved meanwhile.
     private static void drop(Layout next, Layout wanted, PlanningView view) {
         next.placements().stream()
                 .filter(copy -> wanted.get(copy.model(), copy.target()).isEmpty())
                 .filter(
                         copy ->
-                                wanted.shares(copy.model())
-                                        || readyElsewhere(copy, next, wanted, view))
+                                wanted.isLoadedOnDemand(copy.model())
+                                        || isReadyElsewhere(copy, next, wanted, view))
                 .forEach(copy -> next.remove(copy.model(), copy.target()));
     }
 
-    private static boolean readyElsewhere(
+    private static boolean isReadyElsewhere(
             Placement copy, Layout next, Layout wanted, PlanningView view) {
-        return next.homes(copy.model()).stream()
+        return next.targetsOf(copy.model()).stream()
                 .filter(target -> !target.equals(copy.target()))
                 .filter(target -> wanted.get(copy.model(), target).isPresent())
                 .anyMatch(target -> view.ready(copy.model(), target));
     }
 
-    private void add(Layout next, Layout wanted, Set<ModelId> orphaned, PlanningView view) {
+    private void add(Layout next, Layout wanted, Set<ModelId> withoutCopy, PlanningView view) {
         List<Placement> additions =
                 wanted.placements().stream()
-                        .filter(copy -> !sameCopy(next, copy))
+                        .filter(copy -> !isPlanned(next, copy))
                         .sorted(
                                 Comparator.comparing(
-                                                (Placement copy) -> next.copies(copy.model()) > 0)
+                                                (Placement copy) ->
+                                                        next.copyCount(copy.model()) > 0)
                                         .thenComparingDouble(
                                                 copy -> -view.demand(copy.model()).slots()))
                         .toList();
@@ -203,25 +209,26 @@
             if (!next.fits(copy)) {
                 continue;
             }
-            if (!pacer.take(loads(next, copy, view), view.configuration().weightStore())) {
+            if (!loadRateLimiter.tryAcquire(
+                    loadCount(next, copy, view), view.configuration().weightStore())) {
                 return;
             }
-            next.put(orphaned.contains(copy.model()) ? recovered(copy) : copy);
+            next.put(withoutCopy.contains(copy.model()) ? withRecoveryCause(copy) : copy);
         }
     }
 
-    private static boolean sameCopy(Layout next, Placement copy) {
+    private static boolean isPlanned(Layout next, Placement copy) {
         return next.get(copy.model(), copy.target())
                 .filter(planned -> planned.adapters().equals(copy.adapters()))
                 .isPresent();
     }
 
-    private static Placement recovered(Placement copy) {
+    private static Placement withRecoveryCause(Placement copy) {
         return new Placement(
                 copy.model(), copy.target(), copy.adapters(), MoveCause.RECOVERY.text());
     }
 
-    private static int loads(Layout next, Placement copy, PlanningView view) {
+    private static int loadCount(Layout next, Placement copy, PlanningView view) {
         TargetStatus status = view.targets().get(copy.target());
         boolean planned = next.get(copy.model(), copy.target()).isPresent();
         boolean resident =
@@ -236,26 +243,30 @@
         return (planned || resident ? 0 : 1) + missing.size();
     }
 
-    // Asserted on every plan: an overcommitted plan would have targets unload what they serve from,
-    // and a plan without a model's last ready copy would make the model unreachable.
-    private static void check(Layout kept, Layout wanted, Layout next, PlanningView view) {
+    // Checked for every plan: with an overcommitted plan, targets would unload models that are in
+    // use, and a plan without the last ready copy of a model would make the model unavailable.
+    private static void check(Layout remaining, Layout wanted, Layout next, PlanningView view) {
         next.placements().stream()
                 .map(Placement::target)
                 .distinct()
                 .filter(target -> !next.fits(target))
-                .forEach(target -> breach("the plan for " + target + " does not fit"));
-        kept.placements().stream()
+                .forEach(
+                        target -> breach("the plan for " + target + " does not fit in its memory"));
+        remaining.placements().stream()
                 .map(Placement::model)
                 .distinct()
-                .filter(model -> !wanted.shares(model))
-                .filter(model -> next.copies(model) == 0 || lostLastReady(model, kept, next, view))
-                .forEach(model -> breach("the plan drops the last copy of " + model));
+                .filter(model -> !wanted.isLoadedOnDemand(model))
+                .filter(
+                        model ->
+                                next.copyCount(model) == 0
+                                        || losesLastReadyCopy(model, remaining, next, view))
+                .forEach(model -> breach("the plan removes the last copy of " + model));
     }
 
-    private static boolean lostLastReady(
-            ModelId model, Layout kept, Layout next, PlanningView view) {
-        return kept.homes(model).stream().anyMatch(target -> view.ready(model, target))
-                && next.homes(model).stream().noneMatch(target -> view.ready(model, target));
+    private static boolean losesLastReadyCopy(
+            ModelId model, Layout remaining, Layout next, PlanningView view) {
+        return remaining.targetsOf(model).stream().anyMatch(target -> view.ready(model, target))
+                && next.targetsOf(model).stream().noneMatch(target -> view.ready(model, target));
     }
 
     private static void breach(String message) {
--- a/core/src/main/java/org/tamaracktrack/core/placement/PlanningView.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/PlanningView.java
@@ -7,12 +7,12 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * What a plan is made from.
+ * The input of the planner: the configuration, the state of the targets and the demand.
  *
- * @param nowMillis the monotonic time
+ * @param nowMillis the current time by the monotonic clock
  * @param configuration the configuration in force
- * @param targets what was last heard of each target
- * @param demand the demand by model; a model that is not named has none
+ * @param targets the last reported status of each target
+ * @param demand the demand by model; a model without an entry has no demand
  */
 public record PlanningView(
         long nowMillis,
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Returns whether new copies may be placed on a target.
+     * Returns whether new copies can be placed on a target.
      *
      * @param target the target
-     * @return true when it is configured, reachable and stays
+     * @return true if it is configured, reachable and not leaving
      */
     public boolean usable(TargetId target) {
         TargetStatus status = targets.get(target);
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Returns whether a model is ready on a target that stays.
+     * Returns whether a model is ready on a usable target.
      *
      * @param model the model
      * @param target the target
-     * @return true when it is
+     * @return true if the target is usable and the model is ready there
      */
     public boolean ready(ModelId model, TargetId target) {
         return usable(target) && targets.get(target).resident().contains(model);
--- a/core/src/main/java/org/tamaracktrack/core/placement/StaticPlacement.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/StaticPlacement.java
@@ -6,14 +6,17 @@
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.log.LogEntry.Placement;
 
-/** Fills the memory with copies in turn, whatever the demand, and only replaces lost ones. */
+/**
+ * Fills the memory with copies of all models in turn, regardless of demand. Afterwards only
+ * replaces copies that were lost.
+ */
 public final class StaticPlacement implements PlacementPolicy {
     private boolean filled;
 
     private StaticPlacement() {}
 
     /**
-     * Returns the policy.
+     * Returns a static policy.
      *
      * @return the policy
      */
@@ -23,23 +26,23 @@
 
     @Override
     public void improve(Layout layout, PlanningView view) {
-        List<ModelId> homeless = Homes.ensure(layout, view);
-        if (filled || !homeless.isEmpty() || Homes.usable(view).isEmpty()) {
+        List<ModelId> unplaced = MinimumPlacement.ensure(layout, view);
+        if (filled || !unplaced.isEmpty() || MinimumPlacement.usableEngines(view).isEmpty()) {
             return;
         }
         filled = true;
-        while (addOne(layout, view)) {
+        while (addCopy(layout, view)) {
             filled = true;
         }
     }
 
-    private static boolean addOne(Layout layout, PlanningView view) {
+    private static boolean addCopy(Layout layout, PlanningView view) {
         Optional<Placement> further =
                 view.configuration().models().keySet().stream()
                         .sorted(
-                                Comparator.comparingInt((ModelId model) -> layout.copies(model))
+                                Comparator.comparingInt((ModelId model) -> layout.copyCount(model))
                                         .thenComparing(Comparator.naturalOrder()))
-                        .map(model -> Copies.cheapest(layout, view, model))
+                        .map(model -> CopyCandidates.cheapestCopy(layout, view, model))
                         .flatMap(Optional::stream)
                         .findFirst();
         further.ifPresent(layout::put);
--- a/core/src/main/java/org/tamaracktrack/core/placement/StuckCopies.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/StuckCopies.java
@@ -8,46 +8,47 @@
 import org.tamaracktrack.core.log.LogEntry.Placement;
 
 /**
- * Copies that a target neither has nor loads although they have long been planned.
+ * Detects planned copies that a target has neither in memory nor loading for a long time.
  *
- * <p>The planner counts memory by target; on the target the free memory may be split so that no
- * accelerator has room. The plan would wait for such a copy for good and its model be served
- * nowhere, so the place is avoided for a while and the model gets another one.
+ * <p>Free memory on a target may be fragmented so that no accelerator has room for a copy that the
+ * planner expects to fit. Without detection the plan would keep such a copy indefinitely and its
+ * model would not be served, so the target is excluded for the model for some time and the model is
+ * planned elsewhere.
  */
 final class StuckCopies {
-    private static final long PATIENCE_MILLIS = 120_000;
-    private static final long AVOID_MILLIS = 600_000;
+    private static final long STUCK_AFTER_MILLIS = 120_000;
+    private static final long EXCLUSION_MILLIS = 600_000;
 
-    private final Map<Layout.Place, Long> absentSince = new HashMap<>();
-    private final Map<Layout.Place, Long> avoidedUntil = new HashMap<>();
+    private final Map<Layout.ModelOnTarget, Long> absentSince = new HashMap<>();
+    private final Map<Layout.ModelOnTarget, Long> excludedUntil = new HashMap<>();
 
     private StuckCopies() {}
 
-    static StuckCopies none() {
+    static StuckCopies empty() {
         return new StuckCopies();
     }
 
-    /** Returns the places to avoid now. */
-    Set<Layout.Place> observe(Collection<Placement> planned, PlanningView view) {
-        Set<Layout.Place> absent =
+    /** Updates the state from the plan in force and returns the exclusions in force now. */
+    Set<Layout.ModelOnTarget> observe(Collection<Placement> planned, PlanningView view) {
+        Set<Layout.ModelOnTarget> absent =
                 planned.stream()
-                        .filter(copy -> absent(copy, view))
-                        .map(copy -> new Layout.Place(copy.model(), copy.target()))
+                        .filter(copy -> isAbsent(copy, view))
+                        .map(copy -> new Layout.ModelOnTarget(copy.model(), copy.target()))
                         .collect(Collectors.toSet());
         absentSince.keySet().retainAll(absent);
-        absent.forEach(place -> absentSince.putIfAbsent(place, view.nowMillis()));
-        absentSince.forEach((place, since) -> avoidIfLong(place, since, view.nowMillis()));
-        avoidedUntil.values().removeIf(until -> until <= view.nowMillis());
-        return Set.copyOf(avoidedUntil.keySet());
+        absent.forEach(copy -> absentSince.putIfAbsent(copy, view.nowMillis()));
+        absentSince.forEach((copy, since) -> excludeIfStuck(copy, since, view.nowMillis()));
+        excludedUntil.values().removeIf(until -> until <= view.nowMillis());
+        return Set.copyOf(excludedUntil.keySet());
     }
 
-    private void avoidIfLong(Layout.Place place, long sinceMillis, long nowMillis) {
-        if (nowMillis - sinceMillis >= PATIENCE_MILLIS) {
-            avoidedUntil.putIfAbsent(place, nowMillis + AVOID_MILLIS);
+    private void excludeIfStuck(Layout.ModelOnTarget copy, long sinceMillis, long nowMillis) {
+        if (nowMillis - sinceMillis >= STUCK_AFTER_MILLIS) {
+            excludedUntil.putIfAbsent(copy, nowMillis + EXCLUSION_MILLIS);
         }
     }
 
-    private static boolean absent(Placement copy, PlanningView view) {
+    private static boolean isAbsent(Placement copy, PlanningView view) {
         TargetStatus status = view.targets().get(copy.target());
         return view.usable(copy.target())
                 && !status.resident().contains(copy.model())
--- a/core/src/main/java/org/tamaracktrack/core/placement/TargetStatus.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/TargetStatus.java
@@ -5,12 +5,12 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * What the planner last heard of a target.
+ * The last reported status of a target, as the planner uses it.
  *
  * @param reachable whether it can be reached
- * @param leaving whether it takes no new work
- * @param running requests running
- * @param queued requests waiting
+ * @param leaving whether it accepts no new requests because it is about to stop
+ * @param running the number of running requests
+ * @param queued the number of waiting requests
  * @param resident the models in memory and ready
  * @param adapters the adapters in memory and ready
  * @param loading the models being loaded
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Returns whether new copies may be placed on it.
+     * Returns whether new copies can be placed on the target.
      *
-     * @return true when it is reachable and stays
+     * @return true if it is reachable and not leaving
      */
     public boolean usable() {
         return reachable && !leaving;
--- a/core/src/main/java/org/tamaracktrack/core/placement/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Which model is to be resident on which target: demand, policies, and safe steps between plans.
+ * Placement of models on targets: the demand estimate, the placement policies, and the planner that
+ * changes plans in safe steps.
  */
 package org.tamaracktrack.core.placement;
--- a/core/src/test/java/org/tamaracktrack/core/placement/DemandEstimatorTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/placement/DemandEstimatorTest.java
@@ -35,59 +35,58 @@
                                 Map.of(OFFERED, offered))));
     }
 
-    private double perSecond() {
+    private double requestsPerSecond() {
         return estimator.demand().getOrDefault(MODEL, ModelDemand.NONE).requestsPerSecond();
     }
 
-    // Ten requests a second arrive. A fifth of the records is lost, a fifth doubled, some come
-    // late.
-    // Taken for news, a doubled record would show twice the demand and cause moves.
+    // Ten requests per second arrive. One in five records is lost, one in five duplicated, and some
+    // arrive late. Counting a duplicate as new requests would double the estimate and cause moves.
     @Property(seed = "51", tries = 100)
-    void shouldFindTheRateWhenRecordsAreLostDoubledAndLate(
+    void shouldEstimateTheRateWhenRecordsAreLostDuplicatedAndLate(
             @ForAll @LongRange(max = 1_000_000) long seed) {
         Random random = new Random(seed);
         for (int second = 0; second <= 300; second += 5) {
-            int fate = second == 0 || second == 300 ? 2 : random.nextInt(5);
-            if (fate != 0) {
+            int recordFault = second == 0 || second == 300 ? 2 : random.nextInt(5);
+            if (recordFault != 0) {
                 report(second, second * 1_000L, second * 10L);
             }
-            if (fate == 1) {
+            if (recordFault == 1) {
                 report(second, second * 1_000L + 100, second * 10L);
             }
-            if (fate == 3 && second > 20) {
+            if (recordFault == 3 && second > 20) {
                 report(second - 20, second * 1_000L + 200, (second - 20) * 10L);
             }
         }
 
-        assertThat(perSecond()).isWithin(3.0).of(10.0);
+        assertThat(requestsPerSecond()).isWithin(3.0).of(10.0);
     }
 
-    // The log is out for ten minutes. Demand that seems gone would have copies dropped that are in
-    // use.
+    // The log is unavailable for ten minutes. If the estimate dropped meanwhile, copies that are in
+    // use would be removed.
     @Test
     void shouldKeepTheDemandWhenNoRecordArrives() {
         for (int second = 0; second <= 120; second += 5) {
             report(second, second * 1_000L, second * 10L);
         }
-        double before = perSecond();
+        double before = requestsPerSecond();
 
-        assertThat(perSecond()).isEqualTo(before);
+        assertThat(requestsPerSecond()).isEqualTo(before);
         assertThat(before).isGreaterThan(8.0);
     }
 
-    // The planner's duty moves to a process that reads from the middle of the stream: the first
-    // record of a process that has run for days sums up days.
+    // The planner duty moves to a process that starts to read in the middle of the stream. The
+    // first record of a process that has run for days contains the totals of days.
     @Test
-    void shouldNotTakeAnOldProcessForAPeakWhenItsFirstRecordIsRead() {
+    void shouldNotEstimateAPeakWhenTheFirstRecordOfALongRunningProcessIsRead() {
         report(500, 86_400_000, 1_000_000);
 
-        assertThat(perSecond()).isEqualTo(0.0);
+        assertThat(requestsPerSecond()).isEqualTo(0.0);
         report(501, 86_410_000, 1_000_100);
-        assertThat(perSecond()).isLessThan(20.0);
+        assertThat(requestsPerSecond()).isLessThan(20.0);
     }
 
     @Test
-    void shouldFollowATenfoldRiseWithinAMinute() {
+    void shouldFollowWithinAMinuteWhenDemandRisesTenfold() {
         long offered = 0;
         for (int second = 0; second <= 300; second += 10) {
             offered += 10;
@@ -98,6 +97,6 @@
             report(second, second * 1_000L, offered);
         }
 
-        assertThat(perSecond()).isGreaterThan(7.0);
+        assertThat(requestsPerSecond()).isGreaterThan(7.0);
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/placement/PlacementFixture.java
+++ b/core/src/test/java/org/tamaracktrack/core/placement/PlacementFixture.java
@@ -15,7 +15,7 @@
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** Configurations of equal targets with equal models. */
+/** Creates configurations of targets of equal size and models of equal size. */
 final class PlacementFixture {
     static final long MODEL_MEBIBYTES = 1_000;
     static final long ADAPTER_MEBIBYTES = 10;
@@ -33,12 +33,13 @@
     /**
      * Returns a configuration.
      *
-     * @param targets how many targets, over three data centres
-     * @param room how many models fit on each target with their adapters
-     * @param models how many models, with an adapter each
-     * @param moveCost the weight of a move
+     * @param targets the number of targets, spread over three data centres
+     * @param modelsPerTarget how many models with their adapters fit on each target
+     * @param models the number of models, each with one adapter
+     * @param moveCost the cost of a move
      */
-    static Configuration configuration(int targets, int room, int models, double moveCost) {
+    static Configuration configuration(
+            int targets, int modelsPerTarget, int models, double moveCost) {
         return new Configuration(
                 moveCost,
                 new Configuration.WeightStoreLimits(1.4, 11),
@@ -58,11 +59,11 @@
                                         ADAPTER_MEBIBYTES),
                         Configuration.Adapter::id),
                 Map.of(),
-                byId(targets, index -> target(index, room), Configuration.Target::id),
+                byId(targets, index -> target(index, modelsPerTarget), Configuration.Target::id),
                 Map.of());
     }
 
-    private static Configuration.Target target(int index, int room) {
+    private static Configuration.Target target(int index, int modelsPerTarget) {
         return new Configuration.Target(
                 target(index),
                 Configuration.TargetKind.ENGINE,
@@ -73,13 +74,15 @@
                 List.of(
                         new Configuration.Accelerator(
                                 AcceleratorId.of("a0"),
-                                room * (MODEL_MEBIBYTES + ADAPTER_MEBIBYTES) + 500,
+                                modelsPerTarget * (MODEL_MEBIBYTES + ADAPTER_MEBIBYTES) + 500,
                                 500)),
                 true,
                 Optional.empty());
     }
 
     private static <K, V> Map<K, V> byId(int count, IntFunction<V> make, Function<V, K> id) {
-        return IntStream.range(0, count).mapToObj(make).collect(Collectors.toMap(id, one -> one));
+        return IntStream.range(0, count)
+                .mapToObj(make)
+                .collect(Collectors.toMap(id, value -> value));
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/placement/PlanRegisterTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/placement/PlanRegisterTest.java
@@ -36,18 +36,18 @@
     }
 
     @Test
-    void shouldHoldWhenTheTermIsInForce() {
+    void shouldAcceptThePlanWhenItsTermIsInForce() {
         append(0, 0, lease(FIRST, -1));
 
         assertThat(append(1, 10, plan(FIRST, 0, "runner-1"))).isPresent();
         assertThat(register.inForceOffset()).isEqualTo(1);
     }
 
-    // The planner is paused after it decided on a plan. Its lease lapses, another planner takes
-    // over
-    // and plans; then the first one's append arrives. In force, it would undo the other's moves.
+    // The planner is paused after it decided on a plan. Its lease expires, another planner takes
+    // over and publishes a plan, and then the append of the first arrives. Accepting it would undo
+    // the moves of the second planner.
     @Test
-    void shouldDropThePlanWhenAnotherPlannerHasTakenOver() {
+    void shouldRejectThePlanWhenAnotherPlannerHasTakenOver() {
         append(0, 0, lease(FIRST, -1));
         append(1, 15_000, lease(SECOND, -1));
         append(2, 15_100, plan(SECOND, 1, "runner-2"));
@@ -60,17 +60,16 @@
     }
 
     @Test
-    void shouldDropThePlanWhenTheLeaseLapsedAndNobodyTookOver() {
+    void shouldRejectThePlanWhenTheLeaseExpiredWithoutSuccessor() {
         append(0, 0, lease(FIRST, -1));
 
         assertThat(append(1, 10_000, plan(FIRST, 0, "runner-1"))).isEmpty();
     }
 
     // The same process lost the duty and got it back. A plan from its earlier term arrives late:
-    // its
-    // holder is right, its term is not.
+    // the holder matches, the term does not.
     @Test
-    void shouldDropThePlanWhenItIsOfAnEarlierTermOfTheSameHolder() {
+    void shouldRejectThePlanWhenItIsOfAnEarlierTermOfTheSameHolder() {
         append(0, 0, lease(FIRST, -1));
         append(1, 15_000, lease(SECOND, -1));
         append(2, 30_000, lease(FIRST, -1));
--- a/core/src/test/java/org/tamaracktrack/core/placement/PlannerTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/placement/PlannerTest.java
@@ -18,17 +18,17 @@
 
 class PlannerTest {
     private static final int TARGETS = 6;
-    private static final int ROOM = 4;
+    private static final int MODELS_PER_TARGET = 4;
     private static final int MODELS = 10;
     private static final int SETTLE_SECONDS = 150;
 
     private final Configuration configuration =
-            PlacementFixture.configuration(TARGETS, ROOM, MODELS, 1);
+            PlacementFixture.configuration(TARGETS, MODELS_PER_TARGET, MODELS, 1);
 
-    /** One run: targets, the plan in force and the planner. */
+    /** A simulation of targets, the plan in force and the planner. */
     private final class Run {
         private final Random random;
-        private final FakeTargets targets;
+        private final SimulatedTargets targets;
         private final Map<ModelId, ModelDemand> demand = new HashMap<>();
         private Planner planner;
         private List<Placement> plan = List.of();
@@ -36,7 +36,7 @@
 
         private Run(long seed, PlacementKind kind) {
             random = new Random(seed);
-            targets = new FakeTargets(configuration, seed);
+            targets = new SimulatedTargets(configuration, seed);
             planner = Planner.of(kind.policy().orElseThrow(), 15_000);
         }
 
@@ -44,19 +44,19 @@
             return new PlanningView(nowMillis, configuration, targets.statuses(), demand);
         }
 
-        private void second() {
+        private void advanceOneSecond() {
             nowMillis += 1_000;
             plan = planner.next(plan, view());
-            targets.follow(plan);
+            targets.advanceOneSecond(plan);
         }
 
-        private void seconds(int count) {
+        private void advanceSeconds(int count) {
             for (int second = 0; second < count; second++) {
-                second();
+                advanceOneSecond();
             }
         }
 
-        private void randomDemand() {
+        private void changeRandomDemand() {
             ModelId model = PlacementFixture.model(random.nextInt(MODELS));
             double slots = random.nextInt(40);
             demand.put(model, new ModelDemand(slots, slots, slots));
@@ -76,24 +76,24 @@
 
     private void failAndRecover(long seed, PlacementKind kind) {
         Run run = new Run(seed, kind);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         run.assertEveryModelServed();
         for (int event = 0; event < 12; event++) {
-            List<TargetId> up = run.targets.up();
+            List<TargetId> up = run.targets.available();
             TargetId target = PlacementFixture.target(run.random.nextInt(TARGETS));
-            int fate = run.random.nextInt(4);
-            if (fate == 0 && up.size() > 3 && up.contains(target)) {
+            int eventKind = run.random.nextInt(4);
+            if (eventKind == 0 && up.size() > 3 && up.contains(target)) {
                 run.targets.lose(target);
-            } else if (fate == 1 && up.size() > 3 && up.contains(target)) {
+            } else if (eventKind == 1 && up.size() > 3 && up.contains(target)) {
                 run.targets.leave(target);
-            } else if (fate == 2) {
-                run.targets.comeBack(target);
+            } else if (eventKind == 2) {
+                run.targets.restore(target);
             } else {
-                run.randomDemand();
+                run.changeRandomDemand();
             }
-            run.seconds(run.random.nextInt(40));
+            run.advanceSeconds(run.random.nextInt(40));
         }
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         run.assertEveryModelServed();
         configuration
                 .models()
@@ -101,92 +101,90 @@
                 .forEach(
                         model ->
                                 assertThat(run.targets.serving(model))
-                                        .containsAnyIn(run.targets.up()));
+                                        .containsAnyIn(run.targets.available()));
     }
 
-    // Targets are lost, leave, come back, demand jumps, in any order and also before the last
-    // change
-    // has settled; three of six targets always stay, which hold all models. Afterwards a caller
-    // finds
-    // every model. The planner itself asserts in each plan that memory fits and that no last ready
-    // copy is dropped.
+    // Targets fail, leave and return and demand changes, in any order and also before the previous
+    // change has settled. At least three of the six targets remain available, which can hold all
+    // models. Afterwards every model must be served. The planner itself checks in each plan that
+    // memory fits and that no last ready copy is removed.
     @Property(seed = "41", tries = 60)
-    void shouldGiveEveryModelAHomeWhenTargetsAreLostAndLeave(
+    void shouldServeEveryModelWithHysteresisWhenTargetsAreLostOrLeave(
             @ForAll @LongRange(max = 1_000_000) long seed) {
         failAndRecover(seed, PlacementKind.HYSTERESIS);
     }
 
     @Property(seed = "42", tries = 30)
-    void shouldGiveEveryModelAHomeWhenGreedy(@ForAll @LongRange(max = 1_000_000) long seed) {
+    void shouldServeEveryModelWithGreedyPolicyWhenTargetsAreLostOrLeave(
+            @ForAll @LongRange(max = 1_000_000) long seed) {
         failAndRecover(seed, PlacementKind.GREEDY);
     }
 
     @Property(seed = "43", tries = 30)
-    void shouldGiveEveryModelAHomeWhenStatic(@ForAll @LongRange(max = 1_000_000) long seed) {
+    void shouldServeEveryModelWithStaticPolicyWhenTargetsAreLostOrLeave(
+            @ForAll @LongRange(max = 1_000_000) long seed) {
         failAndRecover(seed, PlacementKind.STATIC);
     }
 
-    // Demand jumps between models at random while no target fails. A copy is dropped for another
-    // before the new one has been loaded; at no second may a caller find a model nowhere.
+    // Demand jumps between models while no target fails. A planner that removed a copy before its
+    // replacement is loaded would leave the model unserved for some seconds.
     @Property(seed = "44", tries = 60)
     void shouldNeverLeaveAModelUnservedWhenOnlyDemandChanges(
             @ForAll @LongRange(max = 1_000_000) long seed) {
         Run run = new Run(seed, PlacementKind.GREEDY);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
 
         for (int second = 0; second < 300; second++) {
             if (run.random.nextInt(5) == 0) {
-                run.randomDemand();
+                run.changeRandomDemand();
             }
-            run.second();
+            run.advanceOneSecond();
             run.assertEveryModelServed();
         }
     }
 
-    // A target that holds the only copies leaves. Its copies must be served elsewhere before the
-    // plan
-    // drops them; dropped at once, callers would wait for the loads.
+    // A target that holds the only copies of models leaves. If the plan removed them before they
+    // are served elsewhere, callers would wait for the loads.
     @Property(seed = "45", tries = 30)
-    void shouldEmptyALeavingTargetOnlyAfterOthersServe(
+    void shouldEmptyALeavingTargetOnlyWhenOtherTargetsServe(
             @ForAll @LongRange(max = 1_000_000) long seed) {
         Run run = new Run(seed, PlacementKind.HYSTERESIS);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         TargetId leaving = PlacementFixture.target(run.random.nextInt(TARGETS));
         run.targets.leave(leaving);
 
         for (int second = 0; second < SETTLE_SECONDS; second++) {
-            run.second();
+            run.advanceOneSecond();
             run.assertEveryModelServed();
         }
 
         assertThat(run.plan.stream().map(Placement::target).toList()).doesNotContain(leaving);
     }
 
-    // A target restarts within the grace time. Planned elsewhere at once, its models would be
-    // loaded
-    // twice for nothing.
+    // A target restarts within the grace time. If its models were planned elsewhere immediately,
+    // they would be loaded twice.
     @Test
     void shouldKeepThePlanWhenATargetIsUnreachableOnlyBriefly() {
         Run run = new Run(1, PlacementKind.HYSTERESIS);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         List<Placement> before = run.plan;
         run.targets.lose(PlacementFixture.target(0));
 
-        run.seconds(10);
+        run.advanceSeconds(10);
         assertThat(run.plan).containsExactlyElementsIn(before);
-        run.targets.comeBack(PlacementFixture.target(0));
-        run.seconds(20);
+        run.targets.restore(PlacementFixture.target(0));
+        run.advanceSeconds(20);
 
         assertThat(run.plan).containsExactlyElementsIn(before);
     }
 
     @Test
-    void shouldNameRecoveryAsTheCauseWhenATargetIsLost() {
+    void shouldPlanWithCauseRecoveryWhenATargetIsLost() {
         Run run = new Run(1, PlacementKind.HYSTERESIS);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         run.targets.lose(PlacementFixture.target(0));
 
-        run.seconds(30);
+        run.advanceSeconds(30);
 
         assertThat(run.plan.stream().map(Placement::cause).toList()).contains("recovery");
         assertThat(run.plan.stream().map(Placement::target).toList())
@@ -194,59 +192,59 @@
     }
 
     @Test
-    void shouldPaceItsLoadsToTheWeightStoreWhenPlanningFromNothing() {
+    void shouldLimitLoadsToTheRateOfTheWeightStoreWhenThereIsNoPlan() {
         Run run = new Run(1, PlacementKind.STATIC);
 
-        run.second();
-        int first = planned(run.plan);
-        run.seconds(10);
+        run.advanceOneSecond();
+        int first = loadCount(run.plan);
+        run.advanceSeconds(10);
 
         assertThat(first).isAtMost(11);
-        assertThat(planned(run.plan)).isAtMost(11 + 14 + 1);
-        assertThat(planned(run.plan)).isGreaterThan(first);
+        assertThat(loadCount(run.plan)).isAtMost(11 + 14 + 1);
+        assertThat(loadCount(run.plan)).isGreaterThan(first);
     }
 
-    private static int planned(List<Placement> plan) {
+    private static int loadCount(List<Placement> plan) {
         return plan.stream().mapToInt(copy -> 1 + copy.adapters().size()).sum();
     }
 
-    // Another process takes the planner's duty over in mid-change. It knows the plan in force and
-    // nothing else; starting from nothing, it would move everything again.
+    // Another process takes over the planner duty while changes are in progress. It knows only the
+    // plan in force; a planner that ignored it would move every copy again.
     @Test
-    void shouldMoveNothingWhenANewPlannerTakesOver() {
+    void shouldNotMoveCopiesWhenANewPlannerTakesOver() {
         Run run = new Run(1, PlacementKind.HYSTERESIS);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         List<Placement> before = run.plan;
         int moves = run.targets.moves();
 
         run.planner = Planner.of(PlacementKind.HYSTERESIS.policy().orElseThrow(), 15_000);
-        run.seconds(60);
+        run.advanceSeconds(60);
 
         assertThat(run.plan).containsExactlyElementsIn(before);
         assertThat(run.targets.moves()).isEqualTo(moves);
     }
 
     @Test
-    void shouldTakeResidentCopiesAsHomesWhenThereIsNoPlan() {
+    void shouldPlanResidentCopiesWhereTheyAreWhenThereIsNoPlan() {
         Run run = new Run(1, PlacementKind.HYSTERESIS);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         int moves = run.targets.moves();
 
         run.plan = List.of();
         run.planner = Planner.of(PlacementKind.HYSTERESIS.policy().orElseThrow(), 15_000);
-        run.second();
+        run.advanceOneSecond();
 
         assertThat(run.plan).hasSize(MODELS);
         assertThat(run.targets.moves()).isEqualTo(moves);
     }
 
     @Test
-    void shouldPlaceFurtherCopiesApartWhenDemandAsksForThem() {
+    void shouldSpreadAdditionalCopiesOverDataCentresWhenDemandRises() {
         Run run = new Run(1, PlacementKind.HYSTERESIS);
-        run.seconds(SETTLE_SECONDS);
+        run.advanceSeconds(SETTLE_SECONDS);
         run.demand.put(PlacementFixture.model(0), new ModelDemand(14, 14, 14));
 
-        run.seconds(60);
+        run.advanceSeconds(60);
 
         List<Placement> copies =
                 run.plan.stream()
@@ -266,12 +264,12 @@
                 .isAtLeast(2);
     }
 
-    // Targets were lost and four places are left for five models. With all four planned, a request
-    // for the fifth is refused for good; one place must stay free of plans for copies on demand.
+    // Memory holds four of five models. If all four were planned, requests for the fifth would
+    // always be refused, so memory for one model must remain unplanned for loads on demand.
     @Test
-    void shouldLeaveOnePlaceToShareWhenMemoryHoldsNotAll() {
-        Configuration tight = PlacementFixture.configuration(2, 2, 5, 1);
-        FakeTargets targets = new FakeTargets(tight, 1);
+    void shouldReserveSharedMemoryWhenNotAllModelsFit() {
+        Configuration scarceMemory = PlacementFixture.configuration(2, 2, 5, 1);
+        SimulatedTargets targets = new SimulatedTargets(scarceMemory, 1);
         Planner planner = Planner.of(PlacementKind.HYSTERESIS.policy().orElseThrow(), 15_000);
         List<Placement> plan = List.of();
         List<Placement> before = List.of();
@@ -280,21 +278,22 @@
             plan =
                     planner.next(
                             plan,
-                            new PlanningView(second * 1_000L, tight, targets.statuses(), Map.of()));
-            targets.follow(plan);
+                            new PlanningView(
+                                    second * 1_000L, scarceMemory, targets.statuses(), Map.of()));
+            targets.advanceOneSecond(plan);
         }
 
         assertThat(plan).hasSize(3);
         assertThat(plan).isEqualTo(before);
     }
 
-    // Three targets hold five models; one is lost. The planned copies of the others must give way
-    // in
-    // the plan although they are the last ones, since the lost models have nowhere else to go.
+    // Three targets hold five models and one target is lost. A planned copy on the remaining
+    // targets must be removed although it is the last one of its model, since the models of the
+    // lost target fit nowhere else.
     @Test
-    void shouldLeaveOnePlaceToShareWhenALossLeavesTooLittleMemory() {
-        Configuration tight = PlacementFixture.configuration(3, 2, 5, 1);
-        FakeTargets targets = new FakeTargets(tight, 1);
+    void shouldReserveSharedMemoryWhenNotAllModelsFitAfterALoss() {
+        Configuration scarceMemory = PlacementFixture.configuration(3, 2, 5, 1);
+        SimulatedTargets targets = new SimulatedTargets(scarceMemory, 1);
         Planner planner = Planner.of(PlacementKind.HYSTERESIS.policy().orElseThrow(), 15_000);
         List<Placement> plan = List.of();
         for (int second = 0; second < 200; second++) {
@@ -305,8 +304,9 @@
             plan =
                     planner.next(
                             plan,
-                            new PlanningView(second * 1_000L, tight, targets.statuses(), Map.of()));
-            targets.follow(plan);
+                            new PlanningView(
+                                    second * 1_000L, scarceMemory, targets.statuses(), Map.of()));
+            targets.advanceOneSecond(plan);
         }
 
         assertThat(plan).hasSize(3);
@@ -314,46 +314,45 @@
                 .doesNotContain(PlacementFixture.target(0));
     }
 
-    // A planned copy never comes into memory, since no accelerator of its target has the room in
-    // one
-    // piece. Waited for without end, callers would find the model nowhere.
+    // A planned copy is never loaded because no single accelerator of its target has enough free
+    // memory. If the planner waited indefinitely, the model would not be served.
     @Test
     void shouldPlaceAModelElsewhereWhenItsTargetNeverLoadsIt() {
         Run run = new Run(1, PlacementKind.HYSTERESIS);
-        run.seconds(SETTLE_SECONDS);
-        Placement home = run.plan.get(0);
-        run.targets.refuse(home.target(), home.model());
+        run.advanceSeconds(SETTLE_SECONDS);
+        Placement original = run.plan.get(0);
+        run.targets.neverLoad(original.target(), original.model());
 
-        run.seconds(200);
+        run.advanceSeconds(200);
 
-        assertThat(run.targets.serving(home.model())).isNotEmpty();
-        assertThat(run.plan).doesNotContain(home);
+        assertThat(run.targets.serving(original.model())).isNotEmpty();
+        assertThat(run.plan).doesNotContain(original);
     }
 
-    // The operator raises the weight of a move. On the same demand the system must then move no
-    // more
-    // than before, or the setting would mean nothing.
+    // The operator raises the cost of a move. For the same demand the planner must then not make
+    // more moves than before.
     @Property(seed = "46", tries = 8)
-    void shouldMoveNoMoreWhenMovesWeighMore(@ForAll @LongRange(max = 1_000_000) long seed) {
-        int cheap = movesAt(0.1, seed);
-        int dear = movesAt(100, seed);
-        int priceless = movesAt(100_000, seed);
+    void shouldNotMoveMoreWhenMoveCostRises(@ForAll @LongRange(max = 1_000_000) long seed) {
+        int cheapMoves = movesWithCost(0.1, seed);
+        int expensiveMoves = movesWithCost(100, seed);
+        int prohibitiveMoves = movesWithCost(100_000, seed);
 
-        assertThat(dear).isAtMost(cheap);
-        assertThat(priceless).isAtMost(dear);
+        assertThat(expensiveMoves).isAtMost(cheapMoves);
+        assertThat(prohibitiveMoves).isAtMost(expensiveMoves);
     }
 
-    private static int movesAt(double moveCost, long seed) {
-        Configuration priced = PlacementFixture.configuration(TARGETS, ROOM, MODELS, moveCost);
-        FakeTargets targets = new FakeTargets(priced, seed);
+    private static int movesWithCost(double moveCost, long seed) {
+        Configuration priced =
+                PlacementFixture.configuration(TARGETS, MODELS_PER_TARGET, MODELS, moveCost);
+        SimulatedTargets targets = new SimulatedTargets(priced, seed);
         Planner planner = Planner.of(PlacementKind.HYSTERESIS.policy().orElseThrow(), 15_000);
         Random random = new Random(seed);
         Map<ModelId, ModelDemand> demand = new HashMap<>();
         List<Placement> plan = List.of();
-        int settled = 0;
+        int movesBeforeDemand = 0;
         for (int second = 0; second < 600; second++) {
             if (second == SETTLE_SECONDS) {
-                settled = targets.moves();
+                movesBeforeDemand = targets.moves();
             }
             if (second > SETTLE_SECONDS && random.nextInt(15) == 0) {
                 double slots = random.nextInt(30);
@@ -365,8 +364,8 @@
                     planner.next(
                             plan,
                             new PlanningView(second * 1_000L, priced, targets.statuses(), demand));
-            targets.follow(plan);
+            targets.advanceOneSecond(plan);
         }
-        return targets.moves() - settled;
+        return targets.moves() - movesBeforeDemand;
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/placement/FakeTargets.java
+++ b/core/src/test/java/org/tamaracktrack/core/placement/SimulatedTargets.java
@@ -15,43 +15,43 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.log.LogEntry.Placement;
 
-/** Targets that follow a plan: a load takes seconds, a copy that the plan dropped goes at once. */
-final class FakeTargets {
-    private static final int LONGEST_LOAD_SECONDS = 12;
+/** Simulates targets that carry out a plan: loads take seconds, unloads are immediate. */
+final class SimulatedTargets {
+    private static final int MAX_LOAD_SECONDS = 12;
 
     private final Configuration configuration;
     private final Random random;
-    private final Map<TargetId, Map<ModelId, Integer>> loadingSeconds = new TreeMap<>();
+    private final Map<TargetId, Map<ModelId, Integer>> remainingLoadSeconds = new TreeMap<>();
     private final Map<TargetId, Set<ModelId>> resident = new TreeMap<>();
     private final Set<TargetId> unreachable = new HashSet<>();
     private final Set<TargetId> leaving = new HashSet<>();
-    private final Set<Layout.Place> refused = new HashSet<>();
+    private final Set<Layout.ModelOnTarget> neverLoaded = new HashSet<>();
     private int loads;
     private int unloads;
 
-    FakeTargets(Configuration configuration, long seed) {
+    SimulatedTargets(Configuration configuration, long seed) {
         this.configuration = configuration;
         this.random = new Random(seed);
-        configuration.targets().keySet().forEach(this::empty);
+        configuration.targets().keySet().forEach(this::clear);
     }
 
-    private void empty(TargetId target) {
-        loadingSeconds.put(target, new HashMap<>());
+    private void clear(TargetId target) {
+        remainingLoadSeconds.put(target, new HashMap<>());
         resident.put(target, new HashSet<>());
     }
 
-    /** A target never loads a model, as when no accelerator of it has the room in one piece. */
-    void refuse(TargetId target, ModelId model) {
-        refused.add(new Layout.Place(model, target));
+    /** Keeps a target from loading a model, as when no single accelerator has enough memory. */
+    void neverLoad(TargetId target, ModelId model) {
+        neverLoaded.add(new Layout.ModelOnTarget(model, target));
         resident.get(target).remove(model);
     }
 
     void lose(TargetId target) {
         unreachable.add(target);
-        empty(target);
+        clear(target);
     }
 
-    void comeBack(TargetId target) {
+    void restore(TargetId target) {
         unreachable.remove(target);
         leaving.remove(target);
     }
@@ -60,52 +60,52 @@
         leaving.add(target);
     }
 
-    List<TargetId> up() {
+    List<TargetId> available() {
         return resident.keySet().stream()
                 .filter(target -> !unreachable.contains(target) && !leaving.contains(target))
                 .toList();
     }
 
-    /** A second passes. */
-    void follow(Collection<Placement> plan) {
+    /** Advances the simulation by one second. */
+    void advanceOneSecond(Collection<Placement> plan) {
         for (TargetId target : resident.keySet()) {
             if (!unreachable.contains(target)) {
-                follow(target, plan);
+                advanceOneSecond(target, plan);
             }
         }
     }
 
-    private void follow(TargetId target, Collection<Placement> plan) {
+    private void advanceOneSecond(TargetId target, Collection<Placement> plan) {
         List<ModelId> planned =
                 plan.stream()
                         .filter(copy -> copy.target().equals(target))
                         .map(Placement::model)
                         .toList();
-        Set<ModelId> here = resident.get(target);
-        Map<ModelId, Integer> loading = loadingSeconds.get(target);
-        for (ModelId old : List.copyOf(here)) {
-            if (!planned.contains(old)) {
-                here.remove(old);
+        Set<ModelId> residentHere = resident.get(target);
+        Map<ModelId, Integer> loading = remainingLoadSeconds.get(target);
+        for (ModelId held : List.copyOf(residentHere)) {
+            if (!planned.contains(held)) {
+                residentHere.remove(held);
                 unloads++;
             }
         }
         loading.keySet().retainAll(planned);
         planned.stream()
-                .filter(model -> !here.contains(model) && !loading.containsKey(model))
-                .filter(model -> !refused.contains(new Layout.Place(model, target)))
+                .filter(model -> !residentHere.contains(model) && !loading.containsKey(model))
+                .filter(model -> !neverLoaded.contains(new Layout.ModelOnTarget(model, target)))
                 .forEach(model -> startLoad(loading, model));
         loading.replaceAll((model, seconds) -> seconds - 1);
         for (ModelId model : new ArrayList<>(loading.keySet())) {
             if (loading.get(model) <= 0) {
                 loading.remove(model);
-                here.add(model);
+                residentHere.add(model);
             }
         }
     }
 
     private void startLoad(Map<ModelId, Integer> loading, ModelId model) {
         loads++;
-        loading.put(model, 1 + random.nextInt(LONGEST_LOAD_SECONDS));
+        loading.put(model, 1 + random.nextInt(MAX_LOAD_SECONDS));
     }
 
     Map<TargetId, TargetStatus> statuses() {
@@ -115,22 +115,22 @@
     }
 
     private TargetStatus status(TargetId target) {
-        Set<ModelId> here = resident.get(target);
+        Set<ModelId> residentHere = resident.get(target);
         Set<AdapterId> adapters = new HashSet<>();
         configuration.adapters().values().stream()
-                .filter(adapter -> here.contains(adapter.base()))
+                .filter(adapter -> residentHere.contains(adapter.base()))
                 .forEach(adapter -> adapters.add(adapter.id()));
         return new TargetStatus(
                 !unreachable.contains(target),
                 leaving.contains(target),
                 0,
                 0,
-                here,
+                residentHere,
                 adapters,
-                loadingSeconds.get(target).keySet());
+                remainingLoadSeconds.get(target).keySet());
     }
 
-    /** Targets on which callers reach a model; one that is leaving still finishes its work. */
+    /** Returns the targets that serve a model; a leaving target still finishes its requests. */
     List<TargetId> serving(ModelId model) {
         return resident.keySet().stream()
                 .filter(target -> resident.get(target).contains(model))
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/PlannerDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/PlannerDuty.java
@@ -169,7 +169,7 @@
                         .filter(TargetStatus::reachable)
                         .mapToInt(TargetStatus::running)
                         .sum();
-        demand.running(running, view.nowMillis() - observedAtMillis);
+        demand.observeRunning(running, view.nowMillis() - observedAtMillis);
         observedAtMillis = view.nowMillis();
     }
 
