--- a/bench/src/main/java/org/tamaracktrack/bench/cost/DecisionCosts.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/cost/DecisionCosts.java
@@ -30,7 +30,7 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.memory.MemoryLedger;
 import org.tamaracktrack.core.target.EngineInventory;
-import org.tamaracktrack.core.target.Residency;
+import org.tamaracktrack.core.target.ResidencyPlanner;
 import org.tamaracktrack.core.target.ResidencyView;
 
 /** Prints the processor time of admission, ledger and residency decisions at several sizes. */
@@ -146,7 +146,7 @@
 
     private static void ledger(int orders) {
         MemoryLedger ledger = MemoryLedger.empty();
-        ledger.commit(ACCELERATOR, 10_000_000, 0);
+        ledger.updateCommitted(ACCELERATOR, 10_000_000, 0);
         IntStream.range(0, orders)
                 .forEach(index -> ledger.reserve(OrderId.of("o" + index), ACCELERATOR, 10));
         OrderId one = OrderId.of("one");
@@ -172,7 +172,7 @@
         List<ModelId> ids = configured.keySet().stream().sorted().toList();
         int here = Math.max(1, models / 20);
         ResidencyView view = view(configured, ids, here);
-        report("residency, by models", models, 500, unused -> Residency.decide(view));
+        report("residency, by models", models, 500, unused -> ResidencyPlanner.decide(view));
     }
 
     private static ResidencyView view(
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
@@ -180,7 +180,7 @@
         for (int open : List.of(1, 8, 64)) {
             MemoryLedger ledger = MemoryLedger.empty();
             AcceleratorId accelerator = AcceleratorId.of("a0");
-            ledger.commit(accelerator, 1_000_000, 0);
+            ledger.updateCommitted(accelerator, 1_000_000, 0);
             for (int index = 0; index < open; index++) {
                 ledger.reserve(OrderId.of("open-" + index), accelerator, 10);
             }
--- a/core/src/main/java/org/tamaracktrack/core/memory/MemoryLedger.java
+++ b/core/src/main/java/org/tamaracktrack/core/memory/MemoryLedger.java
@@ -12,23 +12,23 @@
 import org.tamaracktrack.core.id.OrderId;
 
 /**
- * The memory of one target's accelerators. A load reserves before it is ordered; memory counts as
- * free again only when the engine reports that it is. The invariant is asserted on each change:
- * committed plus reserved never exceeds the capacity.
+ * Accounts for the memory of the accelerators of one target. Memory for a load is reserved before
+ * the load is ordered, and counts as free again only when the engine reports it as free. Each
+ * change checks the invariant that committed plus reserved memory never exceeds the capacity.
  */
 public final class MemoryLedger {
-    private final Map<AcceleratorId, Account> accounts = new TreeMap<>();
+    private final Map<AcceleratorId, AcceleratorMemory> memoryByAccelerator = new TreeMap<>();
     private final Map<OrderId, Reservation> reservations = new LinkedHashMap<>();
     private final Map<OrderId, Reservation> inherited = new LinkedHashMap<>();
 
-    private record Account(long capacity, long committed) {}
+    private record AcceleratorMemory(long capacity, long committed) {}
 
     private record Reservation(AcceleratorId accelerator, long mebibytes) {}
 
     private MemoryLedger() {}
 
     /**
-     * Returns a ledger that knows no accelerator, so nothing can be reserved.
+     * Returns a ledger without accelerators, in which nothing can be reserved.
      *
      * @return the ledger
      */
@@ -37,27 +37,30 @@
     }
 
     /**
-     * Takes in what the engine reports of an accelerator. Cache space is part of what is committed.
+     * Updates the committed memory of an accelerator from a report of the engine. Committed memory
+     * includes the memory set aside for KV cache.
      *
      * @param accelerator the accelerator
-     * @param capacityMebibytes its memory
-     * @param committedMebibytes what is in use or set aside
-     * @throws TamaracktrackException with {@code INVARIANT_BREACH} when it does not fit with what
-     *     is reserved; the report stands, so that nothing more can be reserved there
+     * @param capacityMebibytes its capacity in MiB
+     * @param committedMebibytes the memory in use or set aside in MiB
+     * @throws TamaracktrackException with {@code INVARIANT_BREACH} if committed and reserved memory
+     *     exceed the capacity; the update is kept, so that nothing more can be reserved there
      */
-    public void commit(AcceleratorId accelerator, long capacityMebibytes, long committedMebibytes) {
+    public void updateCommitted(
+            AcceleratorId accelerator, long capacityMebibytes, long committedMebibytes) {
         Objects.requireNonNull(accelerator, "accelerator is null");
-        accounts.put(accelerator, new Account(capacityMebibytes, committedMebibytes));
-        check(accelerator);
+        memoryByAccelerator.put(
+                accelerator, new AcceleratorMemory(capacityMebibytes, committedMebibytes));
+        checkInvariant(accelerator);
     }
 
     /**
      * Reserves memory for an order that is about to be prepared.
      *
      * @param order the order
-     * @param accelerator where
-     * @param mebibytes how much
-     * @return false when there is no room, and then nothing is reserved
+     * @param accelerator the accelerator
+     * @param mebibytes the memory in MiB
+     * @return false if there is not enough free memory, in which case nothing is reserved
      */
     public boolean reserve(OrderId order, AcceleratorId accelerator, long mebibytes) {
         Objects.requireNonNull(order, "order is null");
@@ -65,25 +68,26 @@
             return false;
         }
         reservations.put(order, new Reservation(accelerator, mebibytes));
-        check(accelerator);
+        checkInvariant(accelerator);
         return true;
     }
 
     /**
-     * Reserves memory for an order of a predecessor, whether or not there is room: the engine may
-     * already have carried it out, and then its memory is counted twice until that is seen.
+     * Reserves memory for an order of a predecessor even if there is not enough free memory. The
+     * engine may already have carried out the order; its memory is then counted twice until an
+     * inventory shows it.
      *
      * @param order the order
-     * @param accelerator where
-     * @param mebibytes how much
+     * @param accelerator the accelerator
+     * @param mebibytes the memory in MiB
      */
-    public void inherit(OrderId order, AcceleratorId accelerator, long mebibytes) {
+    public void reserveInherited(OrderId order, AcceleratorId accelerator, long mebibytes) {
         Objects.requireNonNull(order, "order is null");
         inherited.put(order, new Reservation(accelerator, mebibytes));
     }
 
     /**
-     * Releases what is reserved for an order, if anything is.
+     * Releases the reservation of an order. Does nothing if there is none.
      *
      * @param order the order
      */
@@ -93,56 +97,55 @@
     }
 
     /**
-     * Returns how much memory is neither committed nor reserved.
+     * Returns the memory of an accelerator that is neither committed nor reserved.
      *
      * @param accelerator the accelerator
-     * @return how much, 0 for an accelerator that is not known
+     * @return the free memory in MiB; 0 for an unknown accelerator
      */
     public long free(AcceleratorId accelerator) {
-        return Optional.ofNullable(accounts.get(accelerator))
+        return Optional.ofNullable(memoryByAccelerator.get(accelerator))
                 .map(
-                        account ->
-                                account.capacity()
-                                        - account.committed()
-                                        - sum(reservations, accelerator)
-                                        - sum(inherited, accelerator))
+                        memory ->
+                                memory.capacity()
+                                        - memory.committed()
+                                        - reservedOn(reservations, accelerator)
+                                        - reservedOn(inherited, accelerator))
                 .map(free -> Math.max(0, free))
                 .orElse(0L);
     }
 
     /**
-     * Returns how much memory is free on each accelerator.
+     * Returns the free memory of all accelerators.
      *
-     * @return the free memory
+     * @return the free memory in MiB by accelerator
      */
     public Map<AcceleratorId, Long> free() {
         Map<AcceleratorId, Long> free = new HashMap<>();
-        accounts.keySet().forEach(accelerator -> free.put(accelerator, free(accelerator)));
+        memoryByAccelerator
+                .keySet()
+                .forEach(accelerator -> free.put(accelerator, free(accelerator)));
         return free;
     }
 
-    private static long sum(Map<OrderId, Reservation> held, AcceleratorId accelerator) {
-        return held.values().stream()
+    private static long reservedOn(Map<OrderId, Reservation> entries, AcceleratorId accelerator) {
+        return entries.values().stream()
                 .filter(reservation -> reservation.accelerator().equals(accelerator))
                 .mapToLong(Reservation::mebibytes)
                 .sum();
     }
 
-    // Overcommitted memory shows as an engine that dies under load long after the order that caused
-    // it. Asserted here, the change that caused it is known, and since a full account has nothing
-    // free, no further load is ordered there.
-    private void check(AcceleratorId accelerator) {
-        Account account = accounts.get(accelerator);
-        long reserved = sum(reservations, accelerator);
-        if (account.committed() + reserved > account.capacity()) {
+    // Overcommitted memory shows as an engine that fails under load long after the order that
+    // caused it. Checking each change identifies the cause, and since an accelerator that is full
+    // has no free memory, no further load is ordered there.
+    private void checkInvariant(AcceleratorId accelerator) {
+        AcceleratorMemory memory = memoryByAccelerator.get(accelerator);
+        long reserved = reservedOn(reservations, accelerator);
+        if (memory.committed() + reserved > memory.capacity()) {
             throw TamaracktrackException.of(
                     ErrorCode.INVARIANT_BREACH,
                     "accelerator %s: committed %d and reserved %d exceed %d MiB"
                             .formatted(
-                                    accelerator,
-                                    account.committed(),
-                                    reserved,
-                                    account.capacity()));
+                                    accelerator, memory.committed(), reserved, memory.capacity()));
         }
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/memory/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/memory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The ledger of a target's accelerator memory: what is committed, what is reserved for orders under
- * way, and the invariant that both together fit.
+ * Accounting for the accelerator memory of a target: committed memory, memory reserved for pending
+ * orders, and the invariant that both fit together.
  */
 package org.tamaracktrack.core.memory;
--- a/core/src/main/java/org/tamaracktrack/core/target/AnswerState.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/AnswerState.java
@@ -4,8 +4,8 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 
 /**
- * How far the answer to one attempt is, and which frames may still be sent for it. An attempt gets
- * one end: refused, finished or failed. For one thread at a time.
+ * Tracks the progress of the answer to one attempt and decides which frames may still be sent for
+ * it. An attempt ends exactly once: refused, finished or failed. Not thread-safe.
  */
 public final class AnswerState {
     private enum Stage {
@@ -16,13 +16,13 @@
     }
 
     private Stage stage = Stage.WAITING;
-    private boolean engineSaidNotRun;
+    private boolean confirmedNotRun;
     private int chunks;
 
     private AnswerState() {}
 
     /**
-     * Returns the state of an attempt that waits.
+     * Returns the state of an attempt that waits to be sent to the engine.
      *
      * @return the state
      */
@@ -31,58 +31,62 @@
     }
 
     /**
-     * Claims the attempt for sending it to the engine.
+     * Claims the attempt for being sent to the engine.
      *
-     * @return false when it has ended, for instance by a cancel, and must not be sent
+     * @return false if it has ended, for instance by cancellation, and must not be sent
      */
     public boolean send() {
         if (stage == Stage.ENDED) {
             return false;
         }
-        require(stage == Stage.WAITING, "sent twice");
+        require(stage == Stage.WAITING, "was sent to the engine twice");
         stage = Stage.SENT_TO_ENGINE;
         return true;
     }
 
-    /** Notes that the engine itself said, or the failed connection shows, that nothing ran. */
-    public void notRun() {
+    /** Records that the attempt did not run, by the engine's answer or a failed connection. */
+    public void markNotRun() {
         if (stage != Stage.ENDED) {
-            require(stage == Stage.SENT_TO_ENGINE, "said not to have run after it had started");
-            engineSaidNotRun = true;
+            require(
+                    stage == Stage.SENT_TO_ENGINE,
+                    "was reported as not run while no answer was awaited");
+            confirmedNotRun = true;
         }
     }
 
     /**
-     * Notes that the head of the answer goes out.
+     * Records that the head of the answer is sent.
      *
-     * @return false when the attempt has ended and the frame must not be sent
+     * @return false if the attempt has ended and the frame must not be sent
      */
     public boolean start() {
         if (stage == Stage.ENDED) {
             return false;
         }
-        require(stage == Stage.SENT_TO_ENGINE, "started twice, or before it was sent");
+        require(
+                stage == Stage.SENT_TO_ENGINE,
+                "was started twice or before it was sent to the engine");
         stage = Stage.STARTED;
         return true;
     }
 
     /**
-     * Takes the number of the next chunk.
+     * Assigns the number of the next chunk.
      *
-     * @return the number, or -1 when the attempt has ended and the frame must not be sent
+     * @return the number, or -1 if the attempt has ended and the frame must not be sent
      */
     public int nextChunk() {
         if (stage == Stage.ENDED) {
             return -1;
         }
-        require(stage == Stage.STARTED, "chunk before the head");
+        require(stage == Stage.STARTED, "sent a chunk before the head of the answer");
         return chunks++;
     }
 
     /**
-     * Claims the one end of the attempt.
+     * Claims the end of the attempt.
      *
-     * @return false when it has ended already
+     * @return false if it has already ended
      */
     public boolean end() {
         if (stage == Stage.ENDED) {
@@ -92,33 +96,33 @@
         return true;
     }
 
-    // A refusal tells the caller's client that a repeat is safe. Said of a request that the engine
-    // may be running, it would make one order of goods into two.
+    // A refusal tells the client that a retry is safe. If it were sent for a request that the
+    // engine may be running, a retry could execute the request twice.
     /**
      * Claims the end of the attempt as not run.
      *
-     * @return false when it has ended already
-     * @throws TamaracktrackException with {@code INVARIANT_BREACH} when it may have run
+     * @return false if it has already ended
+     * @throws TamaracktrackException with {@code INVARIANT_BREACH} if it may have run
      */
     public boolean refuse() {
         if (stage == Stage.ENDED) {
             return false;
         }
-        require(!mayHaveRun(), "refused as not run though it may have run");
+        require(!mayHaveRun(), "was refused as not run although it may have run");
         return end();
     }
 
     /**
      * Returns whether the attempt may have run.
      *
-     * @return true from the moment it was claimed for sending, unless the engine said otherwise
+     * @return true once it has been claimed for sending, unless it is known not to have run
      */
     public boolean mayHaveRun() {
-        return stage == Stage.STARTED || (stage == Stage.SENT_TO_ENGINE && !engineSaidNotRun);
+        return stage == Stage.STARTED || (stage == Stage.SENT_TO_ENGINE && !confirmedNotRun);
     }
 
     /**
-     * Returns how many chunks went out.
+     * Returns the number of chunks sent.
      *
      * @return the number
      */
@@ -126,9 +130,9 @@
         return chunks;
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw TamaracktrackException.of(ErrorCode.INVARIANT_BREACH, "attempt " + otherwise);
+    private static void require(boolean condition, String violation) {
+        if (!condition) {
+            throw TamaracktrackException.of(ErrorCode.INVARIANT_BREACH, "attempt " + violation);
         }
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/target/EngineInventory.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/EngineInventory.java
@@ -9,13 +9,13 @@
 import org.tamaracktrack.core.id.OrderId;
 
 /**
- * What an engine says of itself at one moment.
+ * The state of an engine as reported by the engine at one point in time.
  *
- * @param highestFencing the highest fencing number it has seen
+ * @param highestFencing the highest fencing number that the engine has received
  * @param role its role
  * @param accelerators its accelerators
- * @param models the models in their memory
- * @param recentOrders the orders that it has seen of late
+ * @param models the models in the memory of the accelerators
+ * @param recentOrders the orders that the engine has received recently
  */
 public record EngineInventory(
         long highestFencing,
@@ -31,7 +31,7 @@
         recentOrders = recentOrders == null ? List.of() : List.copyOf(recentOrders);
     }
 
-    /** How far something in memory is. */
+    /** The state of a model or adapter in memory. */
     public enum Residence {
         @JsonProperty("loading")
         LOADING,
@@ -41,7 +41,7 @@
         UNLOADING
     }
 
-    /** What became of an order. */
+    /** The outcome of an order. */
     public enum Outcome {
         @JsonProperty("done")
         DONE,
@@ -57,8 +57,8 @@
      * An accelerator.
      *
      * @param name its name
-     * @param memoryMebibytes its memory
-     * @param usedMebibytes how much of it is in use
+     * @param memoryMebibytes its memory in MiB
+     * @param usedMebibytes the memory in use in MiB
      */
     public record AcceleratorState(AcceleratorId name, long memoryMebibytes, long usedMebibytes) {}
 
@@ -67,10 +67,10 @@
      *
      * @param model the model
      * @param version its version
-     * @param accelerator where
-     * @param mebibytes its memory
-     * @param state how far it is
-     * @param adapters the adapters on it
+     * @param accelerator the accelerator that holds it
+     * @param mebibytes the memory it takes in MiB
+     * @param state its state
+     * @param adapters the adapters loaded on it
      */
     public record ModelState(
             ModelId model,
@@ -86,18 +86,18 @@
         }
 
         /**
-         * Returns the memory of the model and its adapters.
+         * Returns the memory that the model and its adapters take.
          *
-         * @return the sum
+         * @return the sum in MiB
          */
         public long totalMebibytes() {
             return mebibytes + adapters.stream().mapToLong(AdapterState::mebibytes).sum();
         }
 
         /**
-         * Returns whether it can serve.
+         * Returns whether the model can serve requests.
          *
-         * @return true when it is ready
+         * @return true if it is ready
          */
         public boolean isReady() {
             return state == Residence.READY;
@@ -109,25 +109,25 @@
      *
      * @param adapter the adapter
      * @param version its version
-     * @param mebibytes its memory
-     * @param state how far it is
+     * @param mebibytes the memory it takes in MiB
+     * @param state its state
      */
     public record AdapterState(
             AdapterId adapter, String version, long mebibytes, Residence state) {}
 
     /**
-     * An order that the engine has seen.
+     * An order that the engine has received.
      *
      * @param orderId its identifier
-     * @param outcome what became of it
+     * @param outcome its outcome
      */
     public record OrderState(OrderId orderId, Outcome outcome) {}
 
     /**
-     * Returns what became of an order.
+     * Returns the outcome of an order.
      *
      * @param order the order
-     * @return its outcome; empty when the engine has not seen it, or no longer lists it
+     * @return the outcome; empty if the engine has not received the order or no longer lists it
      */
     public Optional<Outcome> outcomeOf(OrderId order) {
         return recentOrders.stream()
@@ -137,7 +137,7 @@
     }
 
     /**
-     * Returns the copies of a model, whatever their version and state.
+     * Returns the copies of a model in any version and state.
      *
      * @param model the model
      * @return its copies
@@ -147,11 +147,10 @@
     }
 
     /**
-     * Returns the memory of an accelerator that models and adapters take, as the sum of what is
-     * listed.
+     * Returns the memory of an accelerator that the listed models and adapters take.
      *
      * @param accelerator the accelerator
-     * @return the sum
+     * @return the sum in MiB
      */
     public long weightsMebibytes(AcceleratorId accelerator) {
         return models.stream()
--- a/core/src/main/java/org/tamaracktrack/core/target/EngineOrder.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/EngineOrder.java
@@ -7,19 +7,19 @@
 import org.tamaracktrack.core.id.OrderId;
 
 /**
- * An order as the engine reads it.
+ * An order in the form that is sent to the engine.
  *
- * @param orderId its identifier; the engine carries out an identifier once
+ * @param orderId its identifier; the engine carries out each identifier at most once
  * @param fencing the owner's fencing number
- * @param kind what to do
- * @param accelerator where
+ * @param kind the kind of order
+ * @param accelerator the accelerator
  * @param model the model, or the adapter's base model
  * @param adapter the adapter
  * @param version the version of the model or adapter
- * @param mebibytes its memory
- * @param issuedAtMillis when it was issued, by the host's clock
- * @param lifetimeMillis the engine ignores it when this has passed since
- * @param role the role, for {@link OrderKind#SET_ROLE}
+ * @param mebibytes the memory it takes in MiB
+ * @param issuedAtMillis the time of issue by the wall clock of the host
+ * @param lifetimeMillis the time after which the engine ignores the order, from the time of issue
+ * @param role the role; only for {@link OrderKind#SET_ROLE}
  */
 public record EngineOrder(
         OrderId orderId,
--- a/core/src/main/java/org/tamaracktrack/core/target/Room.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/MemoryPlan.java
@@ -14,82 +14,87 @@
 import org.tamaracktrack.core.id.AcceleratorId;
 import org.tamaracktrack.core.id.ModelId;
 
-/** Finds room for loads within one decision, by unloading what may be unloaded. */
-final class Room {
+/** Finds memory for loads within one decision and chooses the copies to evict for them. */
+final class MemoryPlan {
     private final ResidencyView view;
     private final Map<AcceleratorId, Long> free = new HashMap<>();
-    private final Map<AcceleratorId, Long> becomingFree = new HashMap<>();
-    private final List<Change> unloads = new ArrayList<>();
-    private final Set<ModelId> kept = new HashSet<>();
+    private final Map<AcceleratorId, Long> pendingFree = new HashMap<>();
+    private final List<ResidencyChange> unloads = new ArrayList<>();
+    private final Set<ModelId> protectedModels = new HashSet<>();
     private final Set<ModelId> placedHere;
     private final Set<ModelId> placedElsewhere;
 
-    private Room(ResidencyView view) {
+    private MemoryPlan(ResidencyView view) {
         this.view = view;
         this.placedHere = view.placedHere();
         this.placedElsewhere = view.placedElsewhere();
     }
 
-    static Room of(ResidencyView view) {
-        Room room = new Room(view);
-        room.free.putAll(view.free());
-        view.inventory().models().forEach(room::countUnloading);
-        return room;
+    static MemoryPlan of(ResidencyView view) {
+        MemoryPlan plan = new MemoryPlan(view);
+        plan.free.putAll(view.free());
+        view.inventory().models().forEach(plan::countUnloading);
+        return plan;
     }
 
     private void countUnloading(EngineInventory.ModelState copy) {
-        if (isLeaving(copy)) {
-            becomingFree.merge(copy.accelerator(), copy.totalMebibytes(), Long::sum);
+        if (isUnloading(copy)) {
+            pendingFree.merge(copy.accelerator(), copy.totalMebibytes(), Long::sum);
             return;
         }
         copy.adapters().stream()
-                .filter(adapter -> isLeaving(copy, adapter))
+                .filter(adapter -> isUnloading(copy, adapter))
                 .forEach(
                         adapter ->
-                                becomingFree.merge(
+                                pendingFree.merge(
                                         copy.accelerator(), adapter.mebibytes(), Long::sum));
     }
 
-    private boolean isLeaving(EngineInventory.ModelState copy) {
+    private boolean isUnloading(EngineInventory.ModelState copy) {
         return copy.state() == EngineInventory.Residence.UNLOADING
-                || changes()
+                || pendingChanges()
                         .filter(change -> change.kind() == OrderKind.UNLOAD_MODEL)
                         .anyMatch(change -> isSameCopy(change, copy));
     }
 
-    private boolean isLeaving(
+    private boolean isUnloading(
             EngineInventory.ModelState copy, EngineInventory.AdapterState adapter) {
         return adapter.state() == EngineInventory.Residence.UNLOADING
-                || changes()
+                || pendingChanges()
                         .filter(change -> change.kind() == OrderKind.UNLOAD_ADAPTER)
                         .filter(change -> isSameCopy(change, copy, adapter))
                         .anyMatch(
                                 change -> change.adapter().equals(Optional.of(adapter.adapter())));
     }
 
-    private Stream<Change> changes() {
-        return Stream.concat(view.underWay().stream(), unloads.stream());
+    private Stream<ResidencyChange> pendingChanges() {
+        return Stream.concat(view.pendingChanges().stream(), unloads.stream());
     }
 
-    private static boolean isSameCopy(Change change, EngineInventory.ModelState copy) {
+    private static boolean isSameCopy(ResidencyChange change, EngineInventory.ModelState copy) {
         return change.model().equals(copy.model())
                 && change.accelerator().equals(copy.accelerator())
                 && change.version().equals(copy.version());
     }
 
     private static boolean isSameCopy(
-            Change change, EngineInventory.ModelState copy, EngineInventory.AdapterState adapter) {
+            ResidencyChange change,
+            EngineInventory.ModelState copy,
+            EngineInventory.AdapterState adapter) {
         return change.model().equals(copy.model())
                 && change.accelerator().equals(copy.accelerator())
                 && change.version().equals(adapter.version());
     }
 
-    List<Change> unloads() {
+    List<ResidencyChange> unloads() {
         return unloads;
     }
 
-    /** Where a load of this size goes now. The most room goes first: it keeps room for adapters. */
-    Optional<AcceleratorId> now(long mebibytes) {
+    /**
+     * Returns the accelerator with the most free memory if the load fits there now. Using the most
+     * free memory leaves room for adapters beside the model.
+     */
+    Optional<AcceleratorId> acceleratorWithRoom(long mebibytes) {
         return free.entrySet().stream()
                 .filter(entry -> entry.getValue() >= mebibytes)
                 .max(
@@ -98,50 +103,55 @@
                 .map(Map.Entry::getKey);
     }
 
-    boolean fitsNow(AcceleratorId accelerator, long mebibytes) {
+    boolean hasRoom(AcceleratorId accelerator, long mebibytes) {
         return free.getOrDefault(accelerator, 0L) >= mebibytes;
     }
 
-    void take(AcceleratorId accelerator, long mebibytes) {
+    void allocate(AcceleratorId accelerator, long mebibytes) {
         free.merge(accelerator, -mebibytes, Long::sum);
     }
 
-    /** Keeps a model for the rest of this decision, since a longer waiting request needs it. */
-    void keep(ModelId model) {
-        kept.add(model);
+    /** Excludes a model from eviction in this decision, since a longer waiting request needs it. */
+    void protect(ModelId model) {
+        protectedModels.add(model);
     }
 
-    /** Makes room on some accelerator; false when it can't be made now. */
-    boolean make(long mebibytes, String cause) {
+    /** Evicts copies to make room on any accelerator; returns false if that is not possible now. */
+    boolean makeRoom(long mebibytes, String cause) {
         Optional<AcceleratorId> best =
                 free.keySet().stream()
-                        .filter(accelerator -> victims(accelerator, mebibytes, false).isPresent())
+                        .filter(
+                                accelerator ->
+                                        copiesToEvict(accelerator, mebibytes, false).isPresent())
                         .min(
                                 Comparator.<AcceleratorId>comparingInt(
                                                 accelerator ->
-                                                        victims(accelerator, mebibytes, false)
+                                                        copiesToEvict(accelerator, mebibytes, false)
                                                                 .orElseThrow()
                                                                 .size())
                                         .thenComparing(Comparator.naturalOrder()));
-        return best.isPresent() && make(best.get(), mebibytes, cause);
+        return best.isPresent() && makeRoom(best.get(), mebibytes, cause);
     }
 
-    /** Makes room on one accelerator; false when it can't be made now. */
-    boolean make(AcceleratorId accelerator, long mebibytes, String cause) {
-        Optional<List<EngineInventory.ModelState>> victims = victims(accelerator, mebibytes, false);
+    /** Evicts copies to make room on an accelerator; returns false if that is not possible now. */
+    boolean makeRoom(AcceleratorId accelerator, long mebibytes, String cause) {
+        Optional<List<EngineInventory.ModelState>> victims =
+                copiesToEvict(accelerator, mebibytes, false);
         victims.ifPresent(
                 copies -> {
                     copies.forEach(copy -> unload(copy, cause));
-                    becomingFree.merge(accelerator, -mebibytes, Long::sum);
+                    pendingFree.merge(accelerator, -mebibytes, Long::sum);
                 });
         return victims.isPresent();
     }
 
-    /** The models whose running requests must end before there can be room, if that would do. */
-    Optional<Set<ModelId>> busy(long mebibytes) {
+    /**
+     * Returns the models to evict once their requests end; empty if that frees too little memory.
+     */
+    Optional<Set<ModelId>> modelsInUseToEvict(long mebibytes) {
         return free.keySet().stream()
                 .sorted()
-                .flatMap(accelerator -> victims(accelerator, mebibytes, true).stream())
+                .flatMap(accelerator -> copiesToEvict(accelerator, mebibytes, true).stream())
                 .min(Comparator.comparingInt(List::size))
                 .map(
                         copies ->
@@ -152,7 +162,7 @@
 
     void unload(EngineInventory.ModelState copy, String cause) {
         unloads.add(
-                new Change(
+                new ResidencyChange(
                         OrderKind.UNLOAD_MODEL,
                         copy.accelerator(),
                         copy.model(),
@@ -160,37 +170,40 @@
                         copy.version(),
                         copy.totalMebibytes(),
                         cause));
-        becomingFree.merge(copy.accelerator(), copy.totalMebibytes(), Long::sum);
+        pendingFree.merge(copy.accelerator(), copy.totalMebibytes(), Long::sum);
     }
 
-    // Empty when there is no room to be made; an empty list when enough is becoming free already.
-    private Optional<List<EngineInventory.ModelState>> victims(
-            AcceleratorId accelerator, long mebibytes, boolean alsoInUse) {
-        long room = free.getOrDefault(accelerator, 0L) + becomingFree.getOrDefault(accelerator, 0L);
+    // Empty if not enough memory can be freed; an empty list if enough memory is becoming free
+    // already.
+    private Optional<List<EngineInventory.ModelState>> copiesToEvict(
+            AcceleratorId accelerator, long mebibytes, boolean includeInUse) {
+        long available =
+                free.getOrDefault(accelerator, 0L) + pendingFree.getOrDefault(accelerator, 0L);
         List<EngineInventory.ModelState> victims = new ArrayList<>();
-        for (EngineInventory.ModelState copy : evictable(accelerator, alsoInUse)) {
-            if (room >= mebibytes) {
+        for (EngineInventory.ModelState copy : evictable(accelerator, includeInUse)) {
+            if (available >= mebibytes) {
                 break;
             }
             victims.add(copy);
-            room += copy.totalMebibytes();
+            available += copy.totalMebibytes();
         }
-        return room >= mebibytes ? Optional.of(victims) : Optional.empty();
+        return available >= mebibytes ? Optional.of(victims) : Optional.empty();
     }
 
-    // What the plan in force places here stays: it may be the last copy, and only the planner has
-    // seen whether another is ready. A copy that has a place elsewhere goes before one that has
-    // none, since that one is reachable only by loading it again.
+    // Copies that the plan in force places here are not evicted: one may be the last copy, and only
+    // the planner knows whether another is ready. Copies of models that are placed elsewhere are
+    // evicted before those of models without a placement, which are available only after another
+    // load.
     private List<EngineInventory.ModelState> evictable(
-            AcceleratorId accelerator, boolean alsoInUse) {
+            AcceleratorId accelerator, boolean includeInUse) {
         return view.inventory().models().stream()
                 .filter(copy -> copy.accelerator().equals(accelerator))
                 .filter(EngineInventory.ModelState::isReady)
                 .filter(copy -> !placedHere.contains(copy.model()))
-                .filter(copy -> alsoInUse || !view.isModelInUse(copy.model()))
-                .filter(copy -> !kept.contains(copy.model()))
-                .filter(copy -> !isLeaving(copy))
-                .filter(copy -> !isChanging(copy))
+                .filter(copy -> includeInUse || !view.isModelInUse(copy.model()))
+                .filter(copy -> !protectedModels.contains(copy.model()))
+                .filter(copy -> !isUnloading(copy))
+                .filter(copy -> !hasPendingChange(copy))
                 .sorted(
                         Comparator.comparing(
                                         (EngineInventory.ModelState copy) ->
@@ -200,45 +213,49 @@
                 .toList();
     }
 
-    boolean isChanging(EngineInventory.ModelState copy) {
-        return view.underWay().stream()
+    boolean hasPendingChange(EngineInventory.ModelState copy) {
+        return view.pendingChanges().stream()
                 .anyMatch(
                         change ->
                                 change.model().equals(copy.model())
                                         && change.accelerator().equals(copy.accelerator()));
     }
 
-    /** Unloads adapters that nobody placed or uses, oldest use first, until there is room. */
-    boolean makeFromAdapters(AcceleratorId accelerator, long mebibytes, String cause) {
-        long room = free.getOrDefault(accelerator, 0L) + becomingFree.getOrDefault(accelerator, 0L);
-        List<Change> chosen = new ArrayList<>();
-        for (Change unload : idleAdapters(accelerator, cause)) {
-            if (room >= mebibytes) {
+    /**
+     * Evicts adapters that are neither placed here nor in use, least recently used first, to make
+     * room; returns false if that is not possible now.
+     */
+    boolean makeRoomByAdapters(AcceleratorId accelerator, long mebibytes, String cause) {
+        long available =
+                free.getOrDefault(accelerator, 0L) + pendingFree.getOrDefault(accelerator, 0L);
+        List<ResidencyChange> chosen = new ArrayList<>();
+        for (ResidencyChange unload : evictableAdapters(accelerator, cause)) {
+            if (available >= mebibytes) {
                 break;
             }
             chosen.add(unload);
-            room += unload.mebibytes();
+            available += unload.mebibytes();
         }
-        if (room < mebibytes) {
+        if (available < mebibytes) {
             return false;
         }
         chosen.forEach(
                 unload -> {
                     unloads.add(unload);
-                    becomingFree.merge(accelerator, unload.mebibytes(), Long::sum);
+                    pendingFree.merge(accelerator, unload.mebibytes(), Long::sum);
                 });
-        becomingFree.merge(accelerator, -mebibytes, Long::sum);
+        pendingFree.merge(accelerator, -mebibytes, Long::sum);
         return true;
     }
 
-    private List<Change> idleAdapters(AcceleratorId accelerator, String cause) {
+    private List<ResidencyChange> evictableAdapters(AcceleratorId accelerator, String cause) {
         return view.inventory().models().stream()
                 .filter(copy -> copy.accelerator().equals(accelerator))
-                .filter(copy -> !isLeaving(copy) && !isChanging(copy))
+                .filter(copy -> !isUnloading(copy) && !hasPendingChange(copy))
                 .flatMap(copy -> copy.adapters().stream().map(adapter -> Map.entry(copy, adapter)))
                 .filter(entry -> entry.getValue().state() == EngineInventory.Residence.READY)
-                .filter(entry -> !isLeaving(entry.getKey(), entry.getValue()))
-                .filter(entry -> !isAdapterKept(need(entry.getKey(), entry.getValue())))
+                .filter(entry -> !isUnloading(entry.getKey(), entry.getValue()))
+                .filter(entry -> !isAdapterProtected(need(entry.getKey(), entry.getValue())))
                 .sorted(
                         Comparator.comparingLong(
                                 entry ->
@@ -246,7 +263,7 @@
                                                 need(entry.getKey(), entry.getValue()))))
                 .map(
                         entry ->
-                                new Change(
+                                new ResidencyChange(
                                         OrderKind.UNLOAD_ADAPTER,
                                         accelerator,
                                         entry.getKey().model(),
@@ -262,7 +279,7 @@
         return Need.of(copy.model(), adapter.adapter());
     }
 
-    private boolean isAdapterKept(Need need) {
+    private boolean isAdapterProtected(Need need) {
         boolean placed =
                 view.placementsHere().stream()
                         .filter(placement -> placement.model().equals(need.model()))
--- a/core/src/main/java/org/tamaracktrack/core/target/OrderAction.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/OrderAction.java
@@ -3,67 +3,67 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.log.LogEntry;
 
-/** What order control decided. */
+/** An action that {@link OrderController} requests from its caller. */
 public sealed interface OrderAction {
 
     /**
-     * Append the entry to the ownership stream.
+     * Appends an entry to the ownership stream.
      *
      * @param entry an intent, or the settlement of one
      */
     record Append(LogEntry entry) implements OrderAction {}
 
     /**
-     * Send the order to the engine, after a last look at both clocks.
+     * Sends an order to the engine if {@link #isTimely} still holds immediately before.
      *
      * @param order the order
-     * @param sendBy when it must have been sent
+     * @param sendBy the latest time to send it, on both clocks
      */
-    record Send(EngineOrder order, Moment sendBy) implements OrderAction {
+    record Send(EngineOrder order, HostTime sendBy) implements OrderAction {
 
         /**
-         * Returns whether the order may still be sent. A process may be paused between a decision
-         * and its sending; the order would then be sent by one that no longer owns the target. Both
-         * clocks are read: the wall clock may have been set back meanwhile.
+         * Returns whether the order may still be sent. The process may be paused between the
+         * decision and the sending and lose ownership of the target meanwhile. Both clocks are
+         * compared because the wall clock may be set back meanwhile.
          *
-         * @param now the moment right before sending
-         * @return true when neither clock has passed the limit
+         * @param now the time immediately before sending
+         * @return true if the limit has passed on neither clock
          */
-        public boolean isTimely(Moment now) {
+        public boolean isTimely(HostTime now) {
             return now.monotonicMillis() <= sendBy.monotonicMillis()
                     && now.wallMillis() <= sendBy.wallMillis();
         }
     }
 
     /**
-     * A change took effect.
+     * Reports that a change took effect.
      *
      * @param change the change
      */
-    record Moved(Change change) implements OrderAction {}
+    record Applied(ResidencyChange change) implements OrderAction {}
 
     /**
-     * An order ended without effect, as far as is known.
+     * Reports that an order ended without a known effect.
      *
-     * @param change the change that it was to bring
+     * @param change the change that the order was to make
      */
-    record NotMoved(Change change) implements OrderAction {}
+    record NotApplied(ResidencyChange change) implements OrderAction {}
 
-    /** Another process owns the target: send no more orders and take no more work. */
+    /** Reports that another process owns the target; no more orders or requests are accepted. */
     record Deposed() implements OrderAction {}
 
     /**
-     * An invariant does not hold: the engine uses more memory than there is.
+     * Reports that an invariant is violated: the engine uses more memory than its capacity.
      *
-     * @param failure what does not hold
+     * @param failure the violated invariant
      */
     record Breach(TamaracktrackException failure) implements OrderAction {}
 
     /**
-     * The engine uses memory that is reserved here: another process has sent it orders, so this one
-     * is no longer the owner, or is about to read that it is not.
+     * Reports that the engine uses memory that is reserved by this process. Another process has
+     * sent orders to the engine, so this process has lost or is about to lose ownership.
      *
-     * @param failure what does not fit
+     * @param failure the conflict between used and reserved memory
      */
     record Contended(TamaracktrackException failure) implements OrderAction {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/target/OrderKind.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/OrderKind.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Locale;
 
-/** The kinds of order that an engine takes. */
+/** The kinds of order that an engine accepts. */
 public enum OrderKind {
     LOAD_MODEL,
     UNLOAD_MODEL,
@@ -12,7 +12,7 @@
     SET_ROLE;
 
     /**
-     * Returns the name that the engine knows.
+     * Returns the name of the kind in orders to the engine.
      *
      * @return the name
      */
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Returns whether the order takes memory.
+     * Returns whether the order allocates memory.
      *
-     * @return true for the two loads
+     * @return true for loads of models and adapters
      */
     public boolean isLoad() {
         return this == LOAD_MODEL || this == LOAD_ADAPTER;
--- a/core/src/main/java/org/tamaracktrack/core/target/OrderMessage.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/OrderMessage.java
@@ -4,11 +4,11 @@
 import org.tamaracktrack.core.id.OrderId;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** What order control hears. */
+/** An input of {@link OrderController}. */
 public sealed interface OrderMessage {
 
     /**
-     * A record of the ownership stream was read.
+     * Reports that a record of the ownership stream was read.
      *
      * @param record the record
      */
@@ -20,16 +20,16 @@
         }
     }
 
-    /** Records of the ownership stream expired before they were read. */
+    /** Reports that records of the ownership stream expired before they were read. */
     record RecordsMissed() implements OrderMessage {}
 
     /**
-     * The engine's inventory was read.
+     * Reports that the engine's inventory was read.
      *
      * @param inventory the inventory
-     * @param requestedAt the moment before it was asked for
+     * @param requestedAt the time immediately before it was requested
      */
-    record InventoryRead(EngineInventory inventory, Moment requestedAt) implements OrderMessage {
+    record InventoryRead(EngineInventory inventory, HostTime requestedAt) implements OrderMessage {
 
         /** Checks the arguments. */
         public InventoryRead {
@@ -39,26 +39,26 @@
     }
 
     /**
-     * A change is wanted.
+     * Requests a change; ignored if it can't be ordered now.
      *
      * @param change the change
      */
-    record Wanted(Change change) implements OrderMessage {
+    record ChangeRequested(ResidencyChange change) implements OrderMessage {
 
         /** Checks the argument. */
-        public Wanted {
+        public ChangeRequested {
             Objects.requireNonNull(change, "change is null");
         }
     }
 
     /**
-     * The order was not sent and will not be: its time to be sent had passed, or its intent was
-     * certainly not written.
+     * Reports that an order was not and will not be sent, because its time limit for sending passed
+     * or its intent was certainly not written.
      *
      * @param order the order
      */
     record NotSent(OrderId order) implements OrderMessage {}
 
-    /** Time passed. */
+    /** Triggers the time-dependent checks without other input. */
     record Tick() implements OrderMessage {}
 }
--- a/core/src/main/java/org/tamaracktrack/core/target/OrderSettings.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/OrderSettings.java
@@ -7,13 +7,13 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * What order control knows from the start.
+ * The settings of an {@link OrderController}.
  *
  * @param target the target
- * @param self this process
- * @param startedAtMillis when this process started, by the host's clock
- * @param checksFencing whether the engine refuses orders with an old fencing number
- * @param accelerators the accelerators that the configuration lists
+ * @param self the incarnation of this process
+ * @param startedAtMillis the start time of this process by the wall clock of the host
+ * @param checksFencing whether the engine rejects orders with an outdated fencing number
+ * @param accelerators the configured accelerators of the target
  */
 public record OrderSettings(
         TargetId target,
@@ -21,13 +21,13 @@
         long startedAtMillis,
         boolean checksFencing,
         List<Configuration.Accelerator> accelerators) {
-    /** The engine ignores an order this long after it was issued. */
+    /** The lifetime of an order: the engine ignores it this long after it was issued. */
     public static final long LIFETIME_MILLIS = 10_000;
 
-    /** An order is given up if it can't be sent this soon after it was issued. */
+    /** The time after issue within which an order must be sent; a later one is abandoned. */
     public static final long SEND_WITHIN_MILLIS = 3_000;
 
-    /** Added to a lifetime before memory is given back, for a clock that is slewed. */
+    /** Added to a lifetime before memory is released, to allow for slewing of the wall clock. */
     public static final long MARGIN_MILLIS = 1_000;
 
     /** Checks the arguments. */
--- a/core/src/main/java/org/tamaracktrack/core/target/OwnershipRegister.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/OwnershipRegister.java
@@ -11,8 +11,8 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * Who owns one target and which of its orders may be under way, as the log's records say in offset
- * order. Every reader that has read up to the same offset says the same.
+ * Derives the owner of one target and the orders that may still take effect from the records of the
+ * ownership stream, in offset order. All readers that have read up to the same offset agree.
  */
 public final class OwnershipRegister {
     private final TargetId target;
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Takes the next record in.
+     * Applies the next record.
      *
      * @param record the record
      */
@@ -46,17 +46,17 @@
         Objects.requireNonNull(record, "record is null");
         if (record.entry() instanceof LogEntry.OwnershipTaken taken
                 && taken.target().equals(target)) {
-            taken(taken, record.offset());
+            recordOwnership(taken, record.offset());
         } else if (record.entry() instanceof LogEntry.OrderIntent intent
                 && intent.target().equals(target)) {
-            intended(intent);
+            recordIntent(intent);
         } else if (record.entry() instanceof LogEntry.OrderSettled settled
                 && settled.target().equals(target)) {
             intents.remove(settled.order());
         }
     }
 
-    private void taken(LogEntry.OwnershipTaken taken, long offset) {
+    private void recordOwnership(LogEntry.OwnershipTaken taken, long offset) {
         ownerStartedAtMillis = taken.startedAtMillis();
         if (!owner.equals(Optional.of(taken.owner()))) {
             owner = Optional.of(taken.owner());
@@ -65,10 +65,10 @@
         fencing = offset;
     }
 
-    // An intent that follows a later owner's record is void: its writer reads that record before it
-    // reads its intent back, and then does not send the order. So a successor that has read up to
-    // its own record knows of every order that its predecessors may still send.
-    private void intended(LogEntry.OrderIntent intent) {
+    // An intent that follows the record of a later owner is void: its writer reads that record
+    // before it reads the intent back, and then does not send the order. A successor that has read
+    // up to its own record therefore knows every order that its predecessors may still send.
+    private void recordIntent(LogEntry.OrderIntent intent) {
         if (intent.fencing() >= firstFencingOfOwner) {
             intents.put(intent.order(), intent);
         }
@@ -77,7 +77,7 @@
     /**
      * Returns the owner.
      *
-     * @return its incarnation, if there is one
+     * @return its incarnation; empty if there is no owner
      */
     public Optional<IncarnationId> owner() {
         return owner;
@@ -86,43 +86,44 @@
     /**
      * Returns the owner's fencing number.
      *
-     * @return the offset of its last ownership record, or -1
+     * @return the offset of its latest ownership record, or -1 if there is no owner
      */
     public long fencing() {
         return fencing;
     }
 
     /**
-     * Returns whether the present owner started later than another process on the same host.
+     * Returns whether the current owner started later than another process on the same host.
      *
-     * @param startedAtMillis when the other process started, by the host's clock
-     * @return true when the owner is the younger one
+     * @param startedAtMillis the start time of the other process by the wall clock of the host
+     * @return true if the owner started later
      */
-    public boolean isOwnerYoungerThan(long startedAtMillis) {
+    public boolean hasOwnerStartedAfter(long startedAtMillis) {
         return ownerStartedAtMillis > startedAtMillis;
     }
 
     /**
-     * Returns the number from which on every ownership record is the owner's.
+     * Returns the first fencing number of the owner since which no other process has owned the
+     * target.
      *
-     * @return the offset of its first ownership record in an unbroken row, or -1
+     * @return the offset of that ownership record, or -1 if there is no owner
      */
     public long firstFencingOfOwner() {
         return firstFencingOfOwner;
     }
 
     /**
-     * Returns whether an intent stands.
+     * Returns whether there is a valid intent that is not settled.
      *
-     * @param order its order
-     * @return true when its writer was the owner at its offset
+     * @param order the order of the intent
+     * @return true if its writer was the owner at the offset of the intent
      */
-    public boolean isIntended(OrderId order) {
+    public boolean hasIntent(OrderId order) {
         return intents.containsKey(order);
     }
 
     /**
-     * Returns the intents that stand, in offset order.
+     * Returns the valid intents that are not settled.
      *
      * @return the intents
      */
@@ -131,9 +132,9 @@
     }
 
     /**
-     * Forgets an intent whose order can no longer take effect.
+     * Removes the intent of an order that can no longer take effect.
      *
-     * @param order its order
+     * @param order the order
      */
     public void forget(OrderId order) {
         intents.remove(order);
--- a/core/src/main/java/org/tamaracktrack/core/target/OrderUnderWay.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/PendingOrder.java
@@ -7,15 +7,15 @@
 import org.tamaracktrack.core.id.OrderId;
 import org.tamaracktrack.core.log.LogEntry;
 
-/** An order whose outcome has not been seen, of this process or of a predecessor. */
-final class OrderUnderWay {
-    /** How far an order is. */
+/** An order of this process or of a predecessor whose outcome is not known yet. */
+final class PendingOrder {
+    /** The progress of an order. */
     enum Stage {
-        /** Its intent is being written; nothing has been sent. */
+        /** The intent is being written; the order has not been sent. */
         PREPARED,
-        /** It may have been sent, and may yet take effect. */
+        /** The order may have been sent and may still take effect. */
         SENT,
-        /** The engine has listed it as running, so its memory shows in the inventory. */
+        /** The engine reports the order as running, so the inventory includes its memory. */
         RUNNING
     }
 
@@ -23,17 +23,17 @@
     private final AcceleratorId accelerator;
     private final ModelId model;
     private final Optional<AdapterId> adapter;
-    private final Optional<Change> change;
+    private final Optional<ResidencyChange> change;
     private final Optional<OrderAction.Send> send;
     private final long expiresAtWallMillis;
     private Stage stage;
 
-    private OrderUnderWay(
+    private PendingOrder(
             OrderId order,
             AcceleratorId accelerator,
             ModelId model,
             Optional<AdapterId> adapter,
-            Optional<Change> change,
+            Optional<ResidencyChange> change,
             Optional<OrderAction.Send> send,
             long expiresAtWallMillis,
             Stage stage) {
@@ -47,9 +47,9 @@
         this.stage = stage;
     }
 
-    static OrderUnderWay own(Change change, OrderAction.Send send, Stage stage) {
+    static PendingOrder own(ResidencyChange change, OrderAction.Send send, Stage stage) {
         EngineOrder order = send.order();
-        return new OrderUnderWay(
+        return new PendingOrder(
                 order.orderId(),
                 change.accelerator(),
                 change.model(),
@@ -60,8 +60,8 @@
                 stage);
     }
 
-    static OrderUnderWay inherited(LogEntry.OrderIntent intent) {
-        return new OrderUnderWay(
+    static PendingOrder inherited(LogEntry.OrderIntent intent) {
+        return new PendingOrder(
                 intent.order(),
                 intent.accelerator(),
                 intent.model(),
@@ -76,7 +76,7 @@
         return order;
     }
 
-    Optional<Change> change() {
+    Optional<ResidencyChange> change() {
         return change;
     }
 
@@ -88,7 +88,7 @@
         return stage;
     }
 
-    void moveTo(Stage next) {
+    void setStage(Stage next) {
         stage = next;
     }
 
@@ -96,8 +96,8 @@
         return change.isPresent();
     }
 
-    // Two orders on the same model could take effect in the other order than they were sent.
-    boolean concerns(Change other) {
+    // Two orders for the same model could take effect in a different order than they were sent.
+    boolean conflictsWith(ResidencyChange other) {
         return accelerator.equals(other.accelerator())
                 && model.equals(other.model())
                 && (adapter.isEmpty()
@@ -105,35 +105,35 @@
                         || adapter.equals(other.adapter()));
     }
 
-    // An inventory that was asked for before the order expired may have been taken just before the
-    // order took effect; one asked for afterwards shows all that the order will ever do.
-    boolean isExpiredFor(Moment inventoryRequestedAt) {
+    // An inventory that was requested before the order expired may have been taken just before the
+    // order took effect; one requested afterwards includes its final effect.
+    boolean isExpiredFor(HostTime inventoryRequestedAt) {
         return inventoryRequestedAt.wallMillis() >= expiresAtWallMillis;
     }
 
-    boolean isTooLateToSend(Moment now) {
+    boolean isTooLateToSend(HostTime now) {
         return send.map(each -> !each.isTimely(now)).orElse(false);
     }
 
-    // The engine's list of recent orders is bounded, so a load may show in its memory only.
-    boolean showsIn(EngineInventory inventory) {
-        return change.filter(wanted -> wanted.kind().isLoad())
+    // The engine's list of recent orders is bounded, so a load may be visible only in its memory.
+    boolean isVisibleIn(EngineInventory inventory) {
+        return change.filter(load -> load.kind().isLoad())
                 .map(
-                        wanted ->
-                                inventory.copiesOf(wanted.model()).stream()
+                        load ->
+                                inventory.copiesOf(load.model()).stream()
                                         .filter(copy -> copy.accelerator().equals(accelerator))
-                                        .anyMatch(copy -> shows(wanted, copy)))
+                                        .anyMatch(copy -> isVisible(load, copy)))
                 .orElse(false);
     }
 
-    private static boolean shows(Change wanted, EngineInventory.ModelState copy) {
-        if (wanted.adapter().isEmpty()) {
-            return copy.version().equals(wanted.version())
+    private static boolean isVisible(ResidencyChange load, EngineInventory.ModelState copy) {
+        if (load.adapter().isEmpty()) {
+            return copy.version().equals(load.version())
                     && copy.state() != EngineInventory.Residence.UNLOADING;
         }
         return copy.adapters().stream()
-                .filter(each -> wanted.adapter().equals(Optional.of(each.adapter())))
-                .filter(each -> each.version().equals(wanted.version()))
+                .filter(each -> load.adapter().equals(Optional.of(each.adapter())))
+                .filter(each -> each.version().equals(load.version()))
                 .anyMatch(each -> each.state() != EngineInventory.Residence.UNLOADING);
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/target/Change.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/ResidencyChange.java
@@ -7,17 +7,17 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * A change of what is in memory, wanted but not yet ordered.
+ * A change to the models or adapters in the memory of an accelerator.
  *
- * @param kind what to do
- * @param accelerator where
+ * @param kind the kind of order that makes the change
+ * @param accelerator the accelerator
  * @param model the model, or the adapter's base model
- * @param adapter the adapter, for the two kinds that concern one
+ * @param adapter the adapter; empty unless an adapter is loaded or unloaded
  * @param version the version of the model or adapter
- * @param mebibytes its memory
- * @param cause why, as counter names have it
+ * @param mebibytes the memory it takes in MiB
+ * @param cause the cause, as it appears in counter names
  */
-public record Change(
+public record ResidencyChange(
         OrderKind kind,
         AcceleratorId accelerator,
         ModelId model,
@@ -27,7 +27,7 @@
         String cause) {
 
     /** Checks the arguments. */
-    public Change {
+    public ResidencyChange {
         Objects.requireNonNull(kind, "kind is null");
         Objects.requireNonNull(accelerator, "accelerator is null");
         Objects.requireNonNull(model, "model is null");
--- a/core/src/main/java/org/tamaracktrack/core/target/ResidencyDecision.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/ResidencyDecision.java
@@ -6,19 +6,20 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * What is to change in an engine's memory.
+ * The decision on changes to the models and adapters in an engine's memory.
  *
  * @param changes the changes to order now, in order
- * @param impossible needs of waiting requests for which no room can be made
- * @param heldBack models for which no request is started, because a change waits for those running
+ * @param unsatisfiable the needs of waiting requests for which no memory can be freed
+ * @param heldBack the models on which no new request is started, because a change waits until their
+ *     running requests end
  */
 public record ResidencyDecision(
-        List<Change> changes, List<Need> impossible, Set<ModelId> heldBack) {
+        List<ResidencyChange> changes, List<Need> unsatisfiable, Set<ModelId> heldBack) {
 
     /** Copies the collections. */
     public ResidencyDecision {
         changes = List.copyOf(changes);
-        impossible = List.copyOf(impossible);
+        unsatisfiable = List.copyOf(unsatisfiable);
         heldBack = Set.copyOf(heldBack);
     }
 }
--- a/core/src/main/java/org/tamaracktrack/core/target/Residency.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/ResidencyPlanner.java
@@ -15,48 +15,49 @@
 import org.tamaracktrack.core.log.LogEntry;
 
 /**
- * Decides what an engine is to load and unload: first what the plan in force places here, then what
- * waiting requests need, then new versions of what is resident. Nothing is unloaded before its room
- * is needed, since an unload that turns out wrong costs two moves.
+ * Decides which models and adapters an engine loads and unloads. The placements of the plan in
+ * force come first, then the needs of waiting requests, then new versions of resident models.
+ * Nothing is unloaded before its memory is needed, since an unload that must be undone costs two
+ * moves.
  */
-public final class Residency {
+public final class ResidencyPlanner {
     private static final String CAUSE_REQUEST = "request";
     private static final String CAUSE_VERSION = "version";
-    private static final long TURN_MILLIS = 10_000;
+    private static final long REPLACEMENT_INTERVAL_MILLIS = 10_000;
 
     private final ResidencyView view;
-    private final Room room;
-    private final List<Change> loads = new ArrayList<>();
-    private final List<Need> impossible = new ArrayList<>();
+    private final MemoryPlan memory;
+    private final List<ResidencyChange> changes = new ArrayList<>();
+    private final List<Need> unsatisfiable = new ArrayList<>();
     private final Set<ModelId> heldBack = new HashSet<>();
 
-    private Residency(ResidencyView view) {
+    private ResidencyPlanner(ResidencyView view) {
         this.view = view;
-        this.room = Room.of(view);
+        this.memory = MemoryPlan.of(view);
     }
 
     /**
-     * Decides.
+     * Decides which changes to order now.
      *
-     * @param view what is known
-     * @return what is to change
+     * @param view the state to decide from
+     * @return the decision
      */
     public static ResidencyDecision decide(ResidencyView view) {
         Objects.requireNonNull(view, "view is null");
-        Residency residency = new Residency(view);
-        residency.placements();
-        residency.needs();
-        residency.versions();
-        return residency.decision();
+        ResidencyPlanner planner = new ResidencyPlanner(view);
+        planner.ensurePlacements();
+        planner.ensureNeeds();
+        planner.replaceOldVersions();
+        return planner.decision();
     }
 
     private ResidencyDecision decision() {
-        List<Change> changes = new ArrayList<>(room.unloads());
-        changes.addAll(loads);
-        return new ResidencyDecision(changes, impossible, heldBack);
+        List<ResidencyChange> allChanges = new ArrayList<>(memory.unloads());
+        allChanges.addAll(changes);
+        return new ResidencyDecision(allChanges, unsatisfiable, heldBack);
     }
 
-    private void placements() {
+    private void ensurePlacements() {
         view.placementsHere().stream()
                 .sorted(
                         Comparator.comparingLong(
@@ -65,59 +66,59 @@
                                 .thenComparing(LogEntry.Placement::model))
                 .forEach(
                         placement -> {
-                            model(placement.model(), placement.cause());
+                            ensureModel(placement.model(), placement.cause());
                             placement
                                     .adapters()
                                     .forEach(
                                             adapter ->
-                                                    adapter(
+                                                    ensureAdapter(
                                                             placement.model(),
                                                             adapter,
                                                             placement.cause()));
                         });
     }
 
-    private void needs() {
-        view.unmet().forEach(this::need);
+    private void ensureNeeds() {
+        view.unmet().forEach(this::ensureNeed);
     }
 
-    private void need(Need need) {
+    private void ensureNeed(Need need) {
         if (!view.configuration().models().containsKey(need.model())) {
-            impossible.add(need);
+            unsatisfiable.add(need);
             return;
         }
-        boolean possible =
-                model(need.model(), CAUSE_REQUEST)
+        boolean satisfiable =
+                ensureModel(need.model(), CAUSE_REQUEST)
                         && need.adapter()
-                                .map(adapter -> adapter(need.model(), adapter, CAUSE_REQUEST))
+                                .map(adapter -> ensureAdapter(need.model(), adapter, CAUSE_REQUEST))
                                 .orElse(true);
-        if (!possible) {
-            impossible.add(need);
+        if (!satisfiable) {
+            unsatisfiable.add(need);
         }
-        room.keep(need.model());
+        memory.protect(need.model());
     }
 
-    private boolean model(ModelId id, String cause) {
+    private boolean ensureModel(ModelId id, String cause) {
         if (hasCopy(id) || isLoading(id)) {
             return true;
         }
         Configuration.Model model = modelOf(id);
-        Optional<AcceleratorId> accelerator = room.now(model.memoryMebibytes());
-        accelerator.ifPresent(where -> load(model, where, cause));
+        Optional<AcceleratorId> accelerator = memory.acceleratorWithRoom(model.memoryMebibytes());
+        accelerator.ifPresent(where -> addLoad(model, where, cause));
         return accelerator.isPresent()
-                || room.make(model.memoryMebibytes(), cause)
-                || waitForBusy(model.memoryMebibytes());
+                || memory.makeRoom(model.memoryMebibytes(), cause)
+                || holdBackModelsInUse(model.memoryMebibytes());
     }
 
-    // A model in steady use would keep its memory for ever, and those waiting for another would
-    // never be served. Nothing new starts on it, so that it falls idle and can go; how often that
-    // happens is bounded by the pace of loads.
-    private boolean waitForBusy(long mebibytes) {
-        Optional<Set<ModelId>> busy = room.busy(mebibytes);
-        if (view.mayMove()) {
-            busy.ifPresent(heldBack::addAll);
+    // A model in steady use would keep its memory indefinitely and starve requests for other
+    // models. No new requests are started on it, so that it becomes idle and can be unloaded; the
+    // load rate limit bounds how often this happens.
+    private boolean holdBackModelsInUse(long mebibytes) {
+        Optional<Set<ModelId>> modelsInUse = memory.modelsInUseToEvict(mebibytes);
+        if (view.loadAllowed()) {
+            modelsInUse.ifPresent(heldBack::addAll);
         }
-        return busy.isPresent();
+        return modelsInUse.isPresent();
     }
 
     private boolean hasCopy(ModelId id) {
@@ -126,18 +127,18 @@
     }
 
     private boolean isLoading(ModelId id) {
-        return view.underWay().stream()
+        return view.pendingChanges().stream()
                         .anyMatch(
                                 change ->
                                         change.kind() == OrderKind.LOAD_MODEL
                                                 && change.model().equals(id))
-                || loads.stream().anyMatch(change -> change.model().equals(id));
+                || changes.stream().anyMatch(change -> change.model().equals(id));
     }
 
-    private void load(Configuration.Model model, AcceleratorId accelerator, String cause) {
-        room.take(accelerator, model.memoryMebibytes());
-        loads.add(
-                new Change(
+    private void addLoad(Configuration.Model model, AcceleratorId accelerator, String cause) {
+        memory.allocate(accelerator, model.memoryMebibytes());
+        changes.add(
+                new ResidencyChange(
                         OrderKind.LOAD_MODEL,
                         accelerator,
                         model.id(),
@@ -147,7 +148,7 @@
                         cause));
     }
 
-    private boolean adapter(ModelId base, AdapterId id, String cause) {
+    private boolean ensureAdapter(ModelId base, AdapterId id, String cause) {
         Optional<Configuration.Adapter> adapter =
                 Optional.ofNullable(view.configuration().adapters().get(id))
                         .filter(each -> each.base().equals(base));
@@ -158,29 +159,29 @@
                 view.inventory().copiesOf(base).stream()
                         .filter(EngineInventory.ModelState::isReady)
                         .findFirst();
-        return copy.map(on -> adapterOn(on, adapter.get(), cause)).orElse(true);
+        return copy.map(on -> ensureAdapterOn(on, adapter.get(), cause)).orElse(true);
     }
 
-    private boolean adapterOn(
+    private boolean ensureAdapterOn(
             EngineInventory.ModelState copy, Configuration.Adapter adapter, String cause) {
         Optional<EngineInventory.AdapterState> present =
                 copy.adapters().stream()
                         .filter(each -> each.adapter().equals(adapter.id()))
                         .findFirst();
         if (present.isPresent()) {
-            replaceIfOld(copy, present.get(), adapter);
+            unloadIfOldVersion(copy, present.get(), adapter);
             return true;
         }
         if (isLoading(adapter.id())) {
             return true;
         }
-        if (!room.fitsNow(copy.accelerator(), adapter.memoryMebibytes())) {
-            return room.makeFromAdapters(copy.accelerator(), adapter.memoryMebibytes(), cause)
-                    || room.make(copy.accelerator(), adapter.memoryMebibytes(), cause);
+        if (!memory.hasRoom(copy.accelerator(), adapter.memoryMebibytes())) {
+            return memory.makeRoomByAdapters(copy.accelerator(), adapter.memoryMebibytes(), cause)
+                    || memory.makeRoom(copy.accelerator(), adapter.memoryMebibytes(), cause);
         }
-        room.take(copy.accelerator(), adapter.memoryMebibytes());
-        loads.add(
-                change(
+        memory.allocate(copy.accelerator(), adapter.memoryMebibytes());
+        changes.add(
+                adapterChange(
                         OrderKind.LOAD_ADAPTER,
                         copy,
                         adapter.id(),
@@ -190,8 +191,9 @@
         return true;
     }
 
-    // An adapter keeps its name on its base model, so its versions can't stand side by side.
-    private void replaceIfOld(
+    // An adapter has the same name on its base model in all versions, so two versions can't be
+    // loaded at the same time.
+    private void unloadIfOldVersion(
             EngineInventory.ModelState copy,
             EngineInventory.AdapterState present,
             Configuration.Adapter adapter) {
@@ -199,8 +201,8 @@
         if (!present.version().equals(adapter.version())
                 && present.state() == EngineInventory.Residence.READY
                 && idle) {
-            loads.add(
-                    change(
+            changes.add(
+                    adapterChange(
                             OrderKind.UNLOAD_ADAPTER,
                             copy,
                             adapter.id(),
@@ -211,18 +213,19 @@
     }
 
     private boolean isLoading(AdapterId id) {
-        return view.underWay().stream().anyMatch(change -> change.adapter().equals(Optional.of(id)))
-                || loads.stream().anyMatch(change -> change.adapter().equals(Optional.of(id)));
+        return view.pendingChanges().stream()
+                        .anyMatch(change -> change.adapter().equals(Optional.of(id)))
+                || changes.stream().anyMatch(change -> change.adapter().equals(Optional.of(id)));
     }
 
-    private static Change change(
+    private static ResidencyChange adapterChange(
             OrderKind kind,
             EngineInventory.ModelState copy,
             AdapterId adapter,
             String version,
             long mebibytes,
             String cause) {
-        return new Change(
+        return new ResidencyChange(
                 kind,
                 copy.accelerator(),
                 copy.model(),
@@ -232,29 +235,31 @@
                 cause);
     }
 
-    private void versions() {
+    private void replaceOldVersions() {
         view.inventory().models().stream()
                 .filter(EngineInventory.ModelState::isReady)
                 .filter(copy -> view.configuration().models().containsKey(copy.model()))
                 .filter(copy -> !copy.version().equals(modelOf(copy.model()).version()))
-                .forEach(this::replace);
+                .forEach(this::unloadOldVersion);
     }
 
-    // An engine holds one version of a model at a time, so the old one goes first. Running requests
-    // end before that: an unload under them would cut their answers. Homes of the same model take
-    // turns, or it would be gone everywhere while the new version loads.
-    private void replace(EngineInventory.ModelState old) {
-        if (view.configuredForMillis() < turnOf(old.model()) * TURN_MILLIS) {
+    // An engine holds one version of a model at a time, so the old one is unloaded first, after its
+    // running requests have ended, since an unload would cut their answers. Targets with the same
+    // model replace it one after another; otherwise it would be unavailable everywhere while the
+    // new version loads.
+    private void unloadOldVersion(EngineInventory.ModelState old) {
+        if (view.configuredForMillis()
+                < replacementPosition(old.model()) * REPLACEMENT_INTERVAL_MILLIS) {
             return;
         }
         heldBack.add(old.model());
-        if (!view.isModelInUse(old.model()) && !room.isChanging(old)) {
-            room.unload(old, CAUSE_VERSION);
+        if (!view.isModelInUse(old.model()) && !memory.hasPendingChange(old)) {
+            memory.unload(old, CAUSE_VERSION);
         }
     }
 
-    private long turnOf(ModelId model) {
-        return view.homesOf(model).stream()
+    private long replacementPosition(ModelId model) {
+        return view.placedTargetsOf(model).stream()
                 .filter(home -> home.compareTo(view.target()) < 0)
                 .count();
     }
--- a/core/src/main/java/org/tamaracktrack/core/target/ResidencyView.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/ResidencyView.java
@@ -14,19 +14,19 @@
 import org.tamaracktrack.core.log.LogEntry;
 
 /**
- * What residency is decided from.
+ * The input of {@link ResidencyPlanner}: the configuration, plan, engine inventory and demand.
  *
  * @param target the target
  * @param configuration the configuration in force
- * @param configuredForMillis how long that configuration has been in force here
- * @param plan the placement plan in force, if there is one
- * @param inventory what the engine has in memory
- * @param free memory that is neither committed nor reserved
- * @param underWay changes ordered and not yet seen
- * @param unmet needs of waiting requests, longest waiting first
- * @param inUse needs of running requests
- * @param mayMove whether the pace allows a load on the target's own account now
- * @param lastUsedMillis when each need was last used, by the monotonic clock
+ * @param configuredForMillis the time for which that configuration has been in force on this target
+ * @param plan the placement plan in force; empty if there is none
+ * @param inventory the inventory of the engine
+ * @param free the memory in MiB that is neither committed nor reserved, by accelerator
+ * @param pendingChanges the changes that were ordered and whose outcome is not known yet
+ * @param unmet the needs of waiting requests, longest waiting first
+ * @param inUse the needs of running requests
+ * @param loadAllowed whether the load rate limit of the target allows a load without a plan now
+ * @param lastUsedMillis the time of the last use of each need by the monotonic clock
  */
 public record ResidencyView(
         TargetId target,
@@ -35,10 +35,10 @@
         Optional<LogEntry.PlanPublished> plan,
         EngineInventory inventory,
         Map<AcceleratorId, Long> free,
-        List<Change> underWay,
+        List<ResidencyChange> pendingChanges,
         Set<Need> unmet,
         Set<Need> inUse,
-        boolean mayMove,
+        boolean loadAllowed,
         Map<Need, Long> lastUsedMillis) {
 
     /** Checks the arguments. */
@@ -48,7 +48,7 @@
         Objects.requireNonNull(plan, "plan is null");
         Objects.requireNonNull(inventory, "inventory is null");
         free = Map.copyOf(free);
-        underWay = List.copyOf(underWay);
+        pendingChanges = List.copyOf(pendingChanges);
     }
 
     List<LogEntry.Placement> placementsHere() {
@@ -62,7 +62,7 @@
         return placementsHere().stream().map(LogEntry.Placement::model).collect(Collectors.toSet());
     }
 
-    Set<TargetId> homesOf(ModelId model) {
+    Set<TargetId> placedTargetsOf(ModelId model) {
         return placements().stream()
                 .filter(placement -> placement.model().equals(model))
                 .map(LogEntry.Placement::target)
--- a/core/src/main/java/org/tamaracktrack/core/target/Usage.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/TokenUsageParser.java
@@ -5,9 +5,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Keeps the last bytes of an answer, where an engine states what the answer cost. */
-public final class Usage {
-    private static final int KEPT_BYTES = 2_048;
+/** Extracts the token counts that an engine reports in the last bytes of an answer. */
+public final class TokenUsageParser {
+    private static final int MAX_TAIL_BYTES = 2_048;
     private static final Pattern PROMPT = Pattern.compile("\"prompt_tokens\"\\s*:\\s*(\\d{1,9})");
     private static final Pattern ANSWER =
             Pattern.compile("\"completion_tokens\"\\s*:\\s*(\\d{1,9})");
@@ -15,60 +15,60 @@
 
     private byte[] tail = {};
 
-    private Usage() {}
+    private TokenUsageParser() {}
 
     /**
-     * Returns a keeper that has seen nothing.
+     * Returns a parser without input.
      *
-     * @return the keeper
+     * @return the parser
      */
-    public static Usage empty() {
-        return new Usage();
+    public static TokenUsageParser empty() {
+        return new TokenUsageParser();
     }
 
     /**
-     * Takes a part of the answer in.
+     * Adds the next part of the answer.
      *
      * @param bytes the part
      */
     public void add(byte[] bytes) {
         Objects.requireNonNull(bytes, "bytes is null");
-        int kept = Math.max(0, Math.min(tail.length, KEPT_BYTES - bytes.length));
-        int taken = Math.min(bytes.length, KEPT_BYTES);
-        byte[] joined = new byte[kept + taken];
-        System.arraycopy(tail, tail.length - kept, joined, 0, kept);
-        System.arraycopy(bytes, bytes.length - taken, joined, kept, taken);
+        int retained = Math.max(0, Math.min(tail.length, MAX_TAIL_BYTES - bytes.length));
+        int added = Math.min(bytes.length, MAX_TAIL_BYTES);
+        byte[] joined = new byte[retained + added];
+        System.arraycopy(tail, tail.length - retained, joined, 0, retained);
+        System.arraycopy(bytes, bytes.length - added, joined, retained, added);
         tail = joined;
     }
 
     /**
-     * Returns the tokens of the prompt.
+     * Returns the number of prompt tokens.
      *
-     * @return the number, 0 when the answer does not say
+     * @return the number; 0 if the answer does not contain it
      */
     public int promptTokens() {
-        return last(PROMPT);
+        return lastMatch(PROMPT);
     }
 
     /**
-     * Returns the tokens of the answer.
+     * Returns the number of answer tokens.
      *
-     * @return the number, 0 when the answer does not say
+     * @return the number; 0 if the answer does not contain it
      */
     public int answerTokens() {
-        return last(ANSWER);
+        return lastMatch(ANSWER);
     }
 
     /**
-     * Returns whether a stream of events ended as it should.
+     * Returns whether an event stream is complete.
      *
-     * @return true when the last event is the end mark
+     * @return true if the last event is the end marker {@code [DONE]}
      */
     public boolean isStreamComplete() {
         return text().stripTrailing().endsWith(END_OF_STREAM);
     }
 
-    private int last(Pattern pattern) {
+    private int lastMatch(Pattern pattern) {
         Matcher matcher = pattern.matcher(text());
         int value = 0;
         while (matcher.find()) {
--- a/core/src/main/java/org/tamaracktrack/core/target/package-info.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the process beside a target decides about its engine: who owns it, which orders are sent,
- * and what is resident. Pure: messages and time in, actions out.
+ * Control of the engine of a target by the process beside it: ownership, orders, and the models and
+ * adapters in memory. Without I/O: messages and time are the input, actions the output.
  */
 package org.tamaracktrack.core.target;
--- a/core/src/test/java/org/tamaracktrack/core/PropertiesRunTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/PropertiesRunTest.java
@@ -14,38 +14,38 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A property in a nested class runs only if the class is a group of the property library as well.
- * Without that it is passed over in silence.
+ * Checks that nested test classes with jqwik properties are annotated with {@code @Group}. Without
+ * it jqwik skips their properties without a report.
  */
 class PropertiesRunTest {
     private static final Path MODULES = Path.of("..").toAbsolutePath().normalize();
-    private static final Pattern NESTED =
+    private static final Pattern NESTED_CLASS =
             Pattern.compile(
                     "( {4}(?:@\\w+\\s+)*)class \\w+[^{]*\\{(.*?)\\n {4}\\}", Pattern.DOTALL);
 
     @Test
-    void shouldFindEveryNestedClassWithPropertiesMarkedAsAGroup() throws IOException {
+    void shouldFindAGroupAnnotationOnEveryNestedClassWithProperties() throws IOException {
         try (Stream<Path> files = Files.walk(MODULES)) {
-            List<Path> silent =
+            List<Path> filesWithUnexecutedProperties =
                     files.filter(file -> file.toString().endsWith("Test.java"))
-                            .filter(PropertiesRunTest::hasSilentProperties)
+                            .filter(PropertiesRunTest::hasUnexecutedProperties)
                             .collect(Collectors.toList());
 
-            assertThat(silent).isEmpty();
+            assertThat(filesWithUnexecutedProperties).isEmpty();
         }
     }
 
-    private static boolean hasSilentProperties(Path file) {
+    private static boolean hasUnexecutedProperties(Path file) {
         try {
-            Matcher nested = NESTED.matcher(Files.readString(file));
+            Matcher nested = NESTED_CLASS.matcher(Files.readString(file));
             return nested.results()
                     .anyMatch(
                             found ->
                                     found.group(1).contains("@Nested")
                                             && !found.group(1).contains("@Group")
                                             && found.group(2).contains("@Property"));
-        } catch (IOException unreadable) {
-            throw new UncheckedIOException(unreadable);
+        } catch (IOException failure) {
+            throw new UncheckedIOException(failure);
         }
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/memory/MemoryLedgerTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/memory/MemoryLedgerTest.java
@@ -17,10 +17,10 @@
     private static final AcceleratorId ACCELERATOR = AcceleratorId.of("a0");
 
     @Property(seed = "2718", tries = 500)
-    void shouldNeverReserveMoreThanThereIsWhenAnythingIsAsked(@ForAll long schedule) {
+    void shouldNeverReserveMoreThanTheCapacityWhenOrdersAreRandom(@ForAll long schedule) {
         Random random = new Random(schedule);
         MemoryLedger ledger = MemoryLedger.empty();
-        ledger.commit(ACCELERATOR, 100, 20);
+        ledger.updateCommitted(ACCELERATOR, 100, 20);
         long[] reserved = new long[40];
 
         for (int turn = 0; turn < 200; turn++) {
@@ -30,8 +30,8 @@
                 ledger.release(order);
                 reserved[index] = 0;
             } else {
-                long wanted = random.nextInt(60);
-                reserved[index] = ledger.reserve(order, ACCELERATOR, wanted) ? wanted : 0;
+                long requested = random.nextInt(60);
+                reserved[index] = ledger.reserve(order, ACCELERATOR, requested) ? requested : 0;
             }
             long sum = Arrays.stream(reserved).sum();
             assertThat(sum).isAtMost(80);
@@ -45,25 +45,27 @@
     }
 
     @Test
-    void shouldReportABreachAndHaveNothingFreeWhenTheEngineUsesWhatIsReserved() {
+    void shouldReportABreachAndNoFreeMemoryWhenTheEngineUsesReservedMemory() {
         MemoryLedger ledger = MemoryLedger.empty();
-        ledger.commit(ACCELERATOR, 100, 0);
+        ledger.updateCommitted(ACCELERATOR, 100, 0);
         ledger.reserve(OrderId.of("o"), ACCELERATOR, 60);
 
         TamaracktrackException failure =
                 assertThrows(
-                        TamaracktrackException.class, () -> ledger.commit(ACCELERATOR, 100, 50));
+                        TamaracktrackException.class,
+                        () -> ledger.updateCommitted(ACCELERATOR, 100, 50));
 
         assertThat(failure.code()).isEqualTo(ErrorCode.INVARIANT_BREACH);
         assertThat(ledger.free(ACCELERATOR)).isEqualTo(0);
     }
 
-    // The engine may already show the memory of a predecessor's order, which is then counted twice.
+    // The engine may already report the memory of a predecessor's order, which is then counted
+    // twice.
     @Test
-    void shouldHoldAPredecessorsOrderWhenThereIsNoRoomForIt() {
+    void shouldReserveMemoryOfAnInheritedOrderWhenThereIsNoRoom() {
         MemoryLedger ledger = MemoryLedger.empty();
-        ledger.commit(ACCELERATOR, 100, 80);
-        ledger.inherit(OrderId.of("o"), ACCELERATOR, 60);
+        ledger.updateCommitted(ACCELERATOR, 100, 80);
+        ledger.reserveInherited(OrderId.of("o"), ACCELERATOR, 60);
 
         assertThat(ledger.free(ACCELERATOR)).isEqualTo(0);
         ledger.release(OrderId.of("o"));
--- a/core/src/test/java/org/tamaracktrack/core/target/AnswerStateTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/target/AnswerStateTest.java
@@ -14,10 +14,10 @@
 
 class AnswerStateTest {
 
-    // Refusal, cancel, deadline and the end of the answer race: whichever comes first is the one
-    // that the entry daemon hears.
+    // A refusal, a cancellation, the deadline and the end of the answer race. Only the first of
+    // them may be reported to the entry daemon.
     @Property(seed = "1123581321", tries = 500)
-    void shouldEndOnceWhenEndsRace(@ForAll long schedule) {
+    void shouldEndOnceWhenSeveralEndsRace(@ForAll long schedule) {
         Random random = new Random(schedule);
         AnswerState answer = AnswerState.waiting();
         if (random.nextBoolean()) {
@@ -39,10 +39,10 @@
         assertThat(answer.nextChunk()).isEqualTo(-1);
     }
 
-    // The refusal of a request that an engine may be running would be repeated elsewhere, and one
-    // approval would become two.
+    // A refused request is retried elsewhere. If the engine may be running it, the request would be
+    // executed twice.
     @Test
-    void shouldBreachWhenRefusedAfterItWasSent() {
+    void shouldReportAnInvariantBreachWhenRefusedAfterSending() {
         AnswerState answer = AnswerState.waiting();
         answer.send();
 
@@ -52,10 +52,10 @@
     }
 
     @Test
-    void shouldRefuseWhenTheEngineSaidThatItDidNotRun() {
+    void shouldRefuseWhenTheEngineReportedThatItDidNotRun() {
         AnswerState answer = AnswerState.waiting();
         answer.send();
-        answer.notRun();
+        answer.markNotRun();
 
         assertThat(answer.refuse()).isTrue();
     }
--- a/core/src/test/java/org/tamaracktrack/core/target/OrderWorld.java
+++ b/core/src/test/java/org/tamaracktrack/core/target/OrderSimulation.java
@@ -18,18 +18,18 @@
 import org.tamaracktrack.core.log.LogRecord;
 
 /**
- * One engine, one log and a row of processes that each believe the target to be theirs, under a
- * schedule drawn from a seed: orders and appends are lost, late and doubled, processes are killed
- * and paused between any two steps, and the log goes out and comes back.
+ * Simulates one engine, one log and several processes that each try to own the target, with a
+ * schedule drawn from a seed. Orders and appends are lost, delayed and duplicated, processes are
+ * killed and paused between any two steps, and the log becomes unavailable and available again.
  */
-final class OrderWorld {
+final class OrderSimulation {
     private static final TargetId TARGET = TargetId.of("t");
     private static final long CAPACITY = 100;
     private static final int MODELS = 8;
 
     private final Random random;
     private final boolean checksFencing;
-    private final FakeEngine engine;
+    private final SimulatedEngine engine;
     private final List<LogRecord> log = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
@@ -37,27 +37,29 @@
     private final List<Process> processes = new ArrayList<>();
     private long now;
     private long eventNumber;
-    private boolean logOut;
-    private boolean calm;
+    private boolean logUnavailable;
+    private boolean faultFree;
 
     private record Event(long at, long number, Runnable task) {}
 
-    /** One process beside the target; its tasks wait while it is paused and end when it is dead. */
+    /**
+     * A process beside the target. Its steps are delayed while it is paused and dropped when dead.
+     */
     private final class Process {
         private final IncarnationId self;
-        private final long startedAt = moment().wallMillis();
-        private final OrderControl control;
-        private final Deque<Runnable> waiting = new ArrayDeque<>();
-        private int read;
-        private int moved;
+        private final long startedAt = hostTime().wallMillis();
+        private final OrderController controller;
+        private final Deque<Runnable> delayedSteps = new ArrayDeque<>();
+        private int nextOffset;
+        private int appliedChanges;
         private boolean dead;
         private boolean deposed;
         private long pausedUntil;
 
         Process(int number) {
             self = IncarnationId.of("p" + number);
-            control =
-                    OrderControl.of(
+            controller =
+                    OrderController.of(
                             new OrderSettings(
                                     TARGET,
                                     self,
@@ -65,16 +67,16 @@
                                     checksFencing,
                                     List.of(
                                             new Configuration.Accelerator(
-                                                    FakeEngine.ACCELERATOR, CAPACITY, 0))));
+                                                    SimulatedEngine.ACCELERATOR, CAPACITY, 0))));
             takeOwnership();
             readLog();
-            askInventory();
-            want();
+            requestInventory();
+            requestChange();
         }
 
-        // Runs a step of this process after a delay, or at the end of a pause that comes before it.
-        private void later(long delay, Runnable step) {
-            after(delay, () -> run(step));
+        // Runs a step of this process after a delay, or at the end of a pause that starts before.
+        private void scheduleStep(long delay, Runnable step) {
+            schedule(delay, () -> run(step));
         }
 
         private void run(Runnable step) {
@@ -82,7 +84,7 @@
                 return;
             }
             if (now < pausedUntil) {
-                waiting.add(step);
+                delayedSteps.add(step);
                 return;
             }
             step.run();
@@ -90,17 +92,17 @@
 
         void pause(long millis) {
             pausedUntil = now + millis;
-            after(
+            schedule(
                     millis,
                     () -> {
-                        List<Runnable> late = List.copyOf(waiting);
-                        waiting.clear();
-                        late.forEach(this::run);
+                        List<Runnable> delayed = List.copyOf(delayedSteps);
+                        delayedSteps.clear();
+                        delayed.forEach(this::run);
                     });
         }
 
         private void takeOwnership() {
-            if (!deposed && !control.isOwner()) {
+            if (!deposed && !controller.isOwner()) {
                 append(
                         new LogEntry.OwnershipTaken(
                                 TARGET,
@@ -110,56 +112,56 @@
                                 "a:1",
                                 startedAt));
             }
-            later(2_000, this::takeOwnership);
+            scheduleStep(2_000, this::takeOwnership);
         }
 
         private void append(LogEntry entry) {
-            boolean lost = !calm && (logOut || random.nextInt(8) == 0);
+            boolean lost = !faultFree && (logUnavailable || random.nextInt(8) == 0);
             if (!lost) {
-                after(delay(2_500), () -> log.add(new LogRecord(log.size(), now, entry)));
+                schedule(delay(2_500), () -> log.add(new LogRecord(log.size(), now, entry)));
             } else if (entry instanceof LogEntry.OrderIntent intent && random.nextBoolean()) {
-                later(delay(300), () -> tell(new OrderMessage.NotSent(intent.order())));
+                scheduleStep(delay(300), () -> deliver(new OrderMessage.NotSent(intent.order())));
             }
         }
 
         private void readLog() {
-            if (!logOut && read < log.size()) {
-                LogRecord next = log.get(read++);
-                tell(new OrderMessage.RecordRead(next));
+            if (!logUnavailable && nextOffset < log.size()) {
+                LogRecord next = log.get(nextOffset++);
+                deliver(new OrderMessage.RecordRead(next));
             }
-            later(1 + random.nextInt(read < log.size() ? 10 : 200), this::readLog);
+            scheduleStep(1 + random.nextInt(nextOffset < log.size() ? 10 : 200), this::readLog);
         }
 
-        private void askInventory() {
-            Moment requestedAt = moment();
-            after(
+        private void requestInventory() {
+            HostTime requestedAt = hostTime();
+            schedule(
                     delay(300),
                     () -> {
                         EngineInventory snapshot = engine.inventory(now);
-                        later(
+                        scheduleStep(
                                 delay(300),
                                 () -> {
-                                    tell(new OrderMessage.InventoryRead(snapshot, requestedAt));
-                                    later(50, this::askInventory);
+                                    deliver(new OrderMessage.InventoryRead(snapshot, requestedAt));
+                                    scheduleStep(50, this::requestInventory);
                                 });
                     });
         }
 
-        private void want() {
-            randomChange().ifPresent(change -> tell(new OrderMessage.Wanted(change)));
-            later(20 + random.nextInt(400), this::want);
+        private void requestChange() {
+            randomChange().ifPresent(change -> deliver(new OrderMessage.ChangeRequested(change)));
+            scheduleStep(20 + random.nextInt(400), this::requestChange);
         }
 
-        private Optional<Change> randomChange() {
+        private Optional<ResidencyChange> randomChange() {
             ModelId model = ModelId.of("m" + random.nextInt(MODELS));
             boolean present =
-                    control.inventory().stream()
+                    controller.inventory().stream()
                             .anyMatch(inventory -> !inventory.copiesOf(model).isEmpty());
             long mebibytes = 20 + 10L * (model.value().hashCode() % 3);
             return Optional.of(
-                    new Change(
+                    new ResidencyChange(
                             present ? OrderKind.UNLOAD_MODEL : OrderKind.LOAD_MODEL,
-                            FakeEngine.ACCELERATOR,
+                            SimulatedEngine.ACCELERATOR,
                             model,
                             Optional.empty(),
                             "1",
@@ -167,8 +169,8 @@
                             "request"));
         }
 
-        private void tell(OrderMessage message) {
-            control.handle(message, moment()).forEach(this::carryOut);
+        private void deliver(OrderMessage message) {
+            controller.handle(message, hostTime()).forEach(this::carryOut);
         }
 
         private void carryOut(OrderAction action) {
@@ -176,20 +178,23 @@
                 append(append.entry());
             } else if (action instanceof OrderAction.Deposed) {
                 deposed = true;
-            } else if (action instanceof OrderAction.Moved) {
-                moved++;
+            } else if (action instanceof OrderAction.Applied) {
+                appliedChanges++;
             } else if (action instanceof OrderAction.Breach breach) {
                 throw breach.failure();
-            } else if (action instanceof OrderAction.Contended contended && isOwnerWithoutBreak()) {
+            } else if (action instanceof OrderAction.Contended contended
+                    && hasOwnedWithoutInterruption()) {
                 throw contended.failure();
             } else if (action instanceof OrderAction.Send send) {
-                // The pause may come between the decision and the last look at the clock.
-                later(delay(100), () -> send(send));
+                // The process may be paused between the decision and the check of the clocks before
+                // sending.
+                scheduleStep(delay(100), () -> send(send));
             }
         }
 
-        // One that lost the target and took it again may find its memory used by the one between.
-        private boolean isOwnerWithoutBreak() {
+        // Memory reserved by a process that lost and regained ownership may be used by the owner in
+        // between.
+        private boolean hasOwnedWithoutInterruption() {
             List<IncarnationId> owners =
                     log.stream()
                             .filter(record -> record.entry() instanceof LogEntry.OwnershipTaken)
@@ -201,37 +206,37 @@
         }
 
         private void send(OrderAction.Send send) {
-            if (!send.isTimely(moment())) {
-                tell(new OrderMessage.NotSent(send.order().orderId()));
+            if (!send.isTimely(hostTime())) {
+                deliver(new OrderMessage.NotSent(send.order().orderId()));
                 return;
             }
-            int copies = calm ? 1 : List.of(0, 1, 1, 1, 2).get(random.nextInt(5));
+            int copies = faultFree ? 1 : List.of(0, 1, 1, 1, 2).get(random.nextInt(5));
             for (int copy = 0; copy < copies; copy++) {
-                after(delay(9_000), () -> engine.take(send.order(), now));
+                schedule(delay(9_000), () -> engine.receive(send.order(), now));
             }
         }
     }
 
-    private OrderWorld(long seed, boolean checksFencing) {
+    private OrderSimulation(long seed, boolean checksFencing) {
         this.random = new Random(seed);
         this.checksFencing = checksFencing;
-        this.engine = new FakeEngine(CAPACITY, checksFencing, 100 + random.nextInt(3_000));
+        this.engine = new SimulatedEngine(CAPACITY, checksFencing, 100 + random.nextInt(3_000));
     }
 
-    static OrderWorld of(long seed, boolean checksFencing) {
-        return new OrderWorld(seed, checksFencing);
+    static OrderSimulation of(long seed, boolean checksFencing) {
+        return new OrderSimulation(seed, checksFencing);
     }
 
-    private Moment moment() {
-        return Moment.of(now, 1_000_000 + now);
+    private HostTime hostTime() {
+        return HostTime.of(now, 1_000_000 + now);
     }
 
-    private void after(long delay, Runnable task) {
+    private void schedule(long delay, Runnable task) {
         events.add(new Event(now + delay, eventNumber++, task));
     }
 
     private long delay(int longest) {
-        boolean slow = !calm && random.nextInt(4) == 0;
+        boolean slow = !faultFree && random.nextInt(4) == 0;
         return 1 + random.nextInt(slow ? longest : 20);
     }
 
@@ -244,7 +249,7 @@
         now = end;
     }
 
-    private void fault() {
+    private void injectFault() {
         Process last = processes.get(processes.size() - 1);
         switch (random.nextInt(5)) {
             case 0 -> {
@@ -256,9 +261,9 @@
                 startProcess();
             }
             case 2 -> last.pause(500 + random.nextInt(8_000));
-            case 3 -> logOut = !logOut;
+            case 3 -> logUnavailable = !logUnavailable;
             default -> {
-                // A turn without a fault.
+                // No fault in this turn.
             }
         }
     }
@@ -267,24 +272,24 @@
         processes.add(new Process(processes.size()));
     }
 
-    /** Runs faults for a while, and then a calm time with one fresh process. */
-    boolean everOvercommitted() {
+    /** Runs the schedule with faults and returns whether memory was ever overcommitted. */
+    boolean overcommitsUnderFaults() {
         startProcess();
         for (int turn = 0; turn < 12 && !engine.everOvercommitted(); turn++) {
             runUntil(now + 500 + random.nextInt(6_000));
-            fault();
+            injectFault();
         }
         return engine.everOvercommitted();
     }
 
-    /** After the faults, returns whether a fresh process gets an order through. */
-    boolean recovers() {
-        calm = true;
-        logOut = false;
+    /** Ends the faults and returns whether an order of a new process takes effect. */
+    boolean ordersAgainAfterFaults() {
+        faultFree = true;
+        logUnavailable = false;
         processes.forEach(process -> process.dead = true);
         startProcess();
         Process last = processes.get(processes.size() - 1);
         runUntil(now + 40_000);
-        return last.control.mayOrder() && last.moved > 0;
+        return last.controller.mayOrder() && last.appliedChanges > 0;
     }
 }
--- a/core/src/test/java/org/tamaracktrack/core/target/ResidencyTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/target/ResidencyPlannerTest.java
@@ -25,7 +25,7 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.log.LogEntry;
 
-class ResidencyTest {
+class ResidencyPlannerTest {
     private static final TargetId HERE = TargetId.of("t1");
     private static final TargetId ELSEWHERE = TargetId.of("t2");
     private static final AcceleratorId ACCELERATOR = AcceleratorId.of("a0");
@@ -33,84 +33,84 @@
     private static final long CAPACITY = 100;
     private static final int MODELS = 6;
 
-    // What the plan places here may be the last copy of its model, and a copy in use has callers
-    // reading its answers: neither is unloaded, whatever else is wanted. And nothing is loaded
-    // beyond what is free.
+    // A placed model may be the only copy, and a model in use has requests running: neither may be
+    // unloaded. Loads may not exceed the free memory.
     @Property(seed = "161803", tries = 2_000)
-    void shouldKeepHomesAndWhatIsInUseWhenAnythingIsWanted(@ForAll long schedule) {
+    void shouldNotUnloadPlacedModelsOrModelsInUseWhenChangesAreRequested(@ForAll long schedule) {
         Random random = new Random(schedule);
-        Given given = new Given();
+        Scenario scenario = new Scenario();
         for (int index = 0; index < MODELS; index++) {
             long size = 10 + random.nextInt(40);
-            given.model(index, size, "1");
-            if (given.used + size <= CAPACITY && random.nextBoolean()) {
-                given.resident(index, size, "1");
+            scenario.configureModel(index, size, "1");
+            if (scenario.used + size <= CAPACITY && random.nextBoolean()) {
+                scenario.addResident(index, size, "1");
             }
             if (random.nextInt(3) == 0) {
-                given.placed(index, random.nextBoolean() ? HERE : ELSEWHERE);
+                scenario.place(index, random.nextBoolean() ? HERE : ELSEWHERE);
             }
             if (random.nextInt(3) == 0) {
-                given.unmet.add(need(index));
+                scenario.unmet.add(need(index));
             }
-            if (given.isResident(index) && random.nextInt(3) == 0) {
-                given.inUse.add(need(index));
+            if (scenario.isResident(index) && random.nextInt(3) == 0) {
+                scenario.inUse.add(need(index));
             }
         }
 
-        ResidencyDecision decision = Residency.decide(given.view(random.nextBoolean()));
+        ResidencyDecision decision = ResidencyPlanner.decide(scenario.view(random.nextBoolean()));
 
         decision.changes().stream()
                 .filter(change -> change.kind() == OrderKind.UNLOAD_MODEL)
                 .forEach(
                         change -> {
-                            assertThat(given.homes(HERE)).doesNotContain(change.model());
-                            assertThat(given.inUse).doesNotContain(Need.of(change.model()));
+                            assertThat(scenario.modelsPlacedOn(HERE))
+                                    .doesNotContain(change.model());
+                            assertThat(scenario.inUse).doesNotContain(Need.of(change.model()));
                         });
         long loads =
                 decision.changes().stream()
                         .filter(change -> change.kind().isLoad())
-                        .mapToLong(Change::mebibytes)
+                        .mapToLong(ResidencyChange::mebibytes)
                         .sum();
-        assertThat(loads).isAtMost(CAPACITY - given.used);
+        assertThat(loads).isAtMost(CAPACITY - scenario.used);
     }
 
     @Nested
-    class Plans {
+    class Placements {
 
         @Test
-        void shouldLoadWhatIsPlacedHereWhenItIsMissing() {
-            Given given = new Given();
-            given.model(0, 40, "1");
-            given.placed(0, HERE);
+        void shouldLoadTheModelWhenItIsPlacedHereAndMissing() {
+            Scenario scenario = new Scenario();
+            scenario.configureModel(0, 40, "1");
+            scenario.place(0, HERE);
 
-            Change load = only(given);
+            ResidencyChange load = onlyChange(scenario);
 
             assertThat(load.kind()).isEqualTo(OrderKind.LOAD_MODEL);
             assertThat(load.cause()).isEqualTo("home");
         }
 
-        // Unloading what a plan no longer names would cost a move now, and another if demand comes
-        // back before the room is needed.
+        // Unloading a copy that is no longer placed costs a move now, and another one if demand
+        // returns before its memory is needed.
         @Test
         void shouldKeepAnUnplacedCopyWhenItsRoomIsNotNeeded() {
-            Given given = new Given();
-            given.model(0, 40, "1");
-            given.resident(0, 40, "1");
-            given.placed(0, ELSEWHERE);
+            Scenario scenario = new Scenario();
+            scenario.configureModel(0, 40, "1");
+            scenario.addResident(0, 40, "1");
+            scenario.place(0, ELSEWHERE);
 
-            assertThat(Residency.decide(given.view(true)).changes()).isEmpty();
+            assertThat(ResidencyPlanner.decide(scenario.view(true)).changes()).isEmpty();
         }
 
         @Test
-        void shouldGiveUpTheCopyWithAHomeElsewhereWhenRoomIsNeeded() {
-            Given given = new Given();
-            IntStream.range(0, 3).forEach(index -> given.model(index, 50, "1"));
-            given.resident(0, 50, "1");
-            given.resident(1, 50, "1");
-            given.placed(1, ELSEWHERE);
-            given.placed(2, HERE);
+        void shouldUnloadTheCopyThatIsPlacedElsewhereWhenRoomIsNeeded() {
+            Scenario scenario = new Scenario();
+            IntStream.range(0, 3).forEach(index -> scenario.configureModel(index, 50, "1"));
+            scenario.addResident(0, 50, "1");
+            scenario.addResident(1, 50, "1");
+            scenario.place(1, ELSEWHERE);
+            scenario.place(2, HERE);
 
-            Change unload = only(given);
+            ResidencyChange unload = onlyChange(scenario);
 
             assertThat(unload.kind()).isEqualTo(OrderKind.UNLOAD_MODEL);
             assertThat(unload.model()).isEqualTo(model(1));
@@ -118,28 +118,29 @@
 
         @Test
         void shouldLoadAdaptersWhenTheirBaseIsReady() {
-            Given given = new Given();
-            given.model(0, 40, "1");
-            given.resident(0, 40, "1");
-            given.placedWithAdapter(0);
+            Scenario scenario = new Scenario();
+            scenario.configureModel(0, 40, "1");
+            scenario.addResident(0, 40, "1");
+            scenario.placeWithAdapter(0);
 
-            assertThat(only(given).kind()).isEqualTo(OrderKind.LOAD_ADAPTER);
+            assertThat(onlyChange(scenario).kind()).isEqualTo(OrderKind.LOAD_ADAPTER);
         }
     }
 
     @Nested
     class Versions {
 
-        // Requests run on the old version while the new one is published. An unload now would cut
-        // their answers; nothing new starts, and the old version goes when they have ended.
+        // Requests run on the old version when a new one is published. An immediate unload would
+        // cut their answers; no new requests are started, and the old version is unloaded when they
+        // have ended.
         @Test
-        void shouldHoldBackAndWaitWhenTheOldVersionIsInUse() {
-            Given given = new Given();
-            given.model(0, 40, "2");
-            given.resident(0, 40, "1");
-            given.inUse.add(need(0));
+        void shouldHoldBackNewRequestsWhenTheOldVersionIsInUse() {
+            Scenario scenario = new Scenario();
+            scenario.configureModel(0, 40, "2");
+            scenario.addResident(0, 40, "1");
+            scenario.inUse.add(need(0));
 
-            ResidencyDecision decision = Residency.decide(given.view(true));
+            ResidencyDecision decision = ResidencyPlanner.decide(scenario.view(true));
 
             assertThat(decision.changes()).isEmpty();
             assertThat(decision.heldBack()).containsExactly(model(0));
@@ -147,31 +148,31 @@
 
         @Test
         void shouldUnloadTheOldVersionWhenItIsIdle() {
-            Given given = new Given();
-            given.model(0, 40, "2");
-            given.resident(0, 40, "1");
+            Scenario scenario = new Scenario();
+            scenario.configureModel(0, 40, "2");
+            scenario.addResident(0, 40, "1");
 
-            assertThat(only(given).cause()).isEqualTo("version");
+            assertThat(onlyChange(scenario).cause()).isEqualTo("version");
         }
 
-        // Both homes would otherwise drop the old version at the same moment, and the model would
-        // be nowhere until the new one is loaded.
+        // If both targets unloaded the old version at the same time, the model would be unavailable
+        // until the new version is loaded.
         @Test
-        void shouldWaitForItsTurnWhenAnotherHomeChangesFirst() {
-            Given given = new Given();
-            given.model(0, 40, "2");
-            given.resident(0, 40, "1");
-            given.placed(0, HERE);
-            given.placed(0, TargetId.of("t0"));
-
-            assertThat(Residency.decide(given.view(true)).changes()).isEmpty();
-            given.configuredForMillis = 10_000;
-            assertThat(only(given).kind()).isEqualTo(OrderKind.UNLOAD_MODEL);
+        void shouldWaitWhenAnotherTargetReplacesTheVersionFirst() {
+            Scenario scenario = new Scenario();
+            scenario.configureModel(0, 40, "2");
+            scenario.addResident(0, 40, "1");
+            scenario.place(0, HERE);
+            scenario.place(0, TargetId.of("t0"));
+
+            assertThat(ResidencyPlanner.decide(scenario.view(true)).changes()).isEmpty();
+            scenario.configuredForMillis = 10_000;
+            assertThat(onlyChange(scenario).kind()).isEqualTo(OrderKind.UNLOAD_MODEL);
         }
     }
 
-    private static Change only(Given given) {
-        List<Change> changes = Residency.decide(given.view(true)).changes();
+    private static ResidencyChange onlyChange(Scenario scenario) {
+        List<ResidencyChange> changes = ResidencyPlanner.decide(scenario.view(true)).changes();
         assertThat(changes).hasSize(1);
         return changes.get(0);
     }
@@ -184,7 +185,7 @@
         return Need.of(model(index));
     }
 
-    private static final class Given {
+    private static final class Scenario {
         private final Map<ModelId, Configuration.Model> models = new HashMap<>();
         private final List<EngineInventory.ModelState> copies = new ArrayList<>();
         private final List<LogEntry.Placement> placements = new ArrayList<>();
@@ -193,16 +194,16 @@
         private long used;
         private long configuredForMillis;
 
-        void model(int index, long mebibytes, String version) {
-            ModelId id = ResidencyTest.model(index);
+        void configureModel(int index, long mebibytes, String version) {
+            ModelId id = ResidencyPlannerTest.model(index);
             models.put(id, new Configuration.Model(id, version, mebibytes));
         }
 
-        void resident(int index, long mebibytes, String version) {
+        void addResident(int index, long mebibytes, String version) {
             used += mebibytes;
             copies.add(
                     new EngineInventory.ModelState(
-                            ResidencyTest.model(index),
+                            ResidencyPlannerTest.model(index),
                             version,
                             ACCELERATOR,
                             mebibytes,
@@ -212,21 +213,22 @@
 
         boolean isResident(int index) {
             return copies.stream()
-                    .anyMatch(copy -> copy.model().equals(ResidencyTest.model(index)));
+                    .anyMatch(copy -> copy.model().equals(ResidencyPlannerTest.model(index)));
         }
 
-        void placed(int index, TargetId target) {
+        void place(int index, TargetId target) {
             placements.add(
-                    new LogEntry.Placement(ResidencyTest.model(index), target, List.of(), "home"));
+                    new LogEntry.Placement(
+                            ResidencyPlannerTest.model(index), target, List.of(), "home"));
         }
 
-        void placedWithAdapter(int index) {
+        void placeWithAdapter(int index) {
             placements.add(
                     new LogEntry.Placement(
-                            ResidencyTest.model(index), HERE, List.of(ADAPTER), "home"));
+                            ResidencyPlannerTest.model(index), HERE, List.of(ADAPTER), "home"));
         }
 
-        Set<ModelId> homes(TargetId target) {
+        Set<ModelId> modelsPlacedOn(TargetId target) {
             return placements.stream()
                     .filter(placement -> placement.target().equals(target))
                     .map(LogEntry.Placement::model)
@@ -265,7 +267,8 @@
                     models,
                     Map.of(
                             ADAPTER,
-                            new Configuration.Adapter(ADAPTER, ResidencyTest.model(0), "1", 5)),
+                            new Configuration.Adapter(
+                                    ADAPTER, ResidencyPlannerTest.model(0), "1", 5)),
                     Map.of(),
                     Map.of(),
                     Map.of());
--- a/core/src/test/java/org/tamaracktrack/core/target/FakeEngine.java
+++ b/core/src/test/java/org/tamaracktrack/core/target/SimulatedEngine.java
@@ -9,14 +9,14 @@
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.OrderId;
 
-/** An engine that does what it is told, also when that overcommits its memory. */
-final class FakeEngine {
+/** Simulates an engine that carries out every valid order, even if it overcommits memory. */
+final class SimulatedEngine {
     static final AcceleratorId ACCELERATOR = AcceleratorId.of("a0");
 
     private final long capacity;
     private final boolean checksFencing;
-    private final long workMillis;
-    private final Map<OrderId, EngineInventory.Outcome> seen = new LinkedHashMap<>();
+    private final long changeMillis;
+    private final Map<OrderId, EngineInventory.Outcome> outcomes = new LinkedHashMap<>();
     private final Map<ModelId, Copy> copies = new LinkedHashMap<>();
     private final Map<OrderId, Long> doneAt = new HashMap<>();
     private long highestFencing;
@@ -24,23 +24,23 @@
 
     private record Copy(long mebibytes, boolean unloading, long doneAtMillis) {}
 
-    FakeEngine(long capacity, boolean checksFencing, long workMillis) {
+    SimulatedEngine(long capacity, boolean checksFencing, long workMillis) {
         this.capacity = capacity;
         this.checksFencing = checksFencing;
-        this.workMillis = workMillis;
+        this.changeMillis = workMillis;
     }
 
-    void take(EngineOrder order, long now) {
+    void receive(EngineOrder order, long now) {
         progress(now);
-        if (seen.containsKey(order.orderId())) {
+        if (outcomes.containsKey(order.orderId())) {
             return;
         }
         if (now - order.issuedAtMillis() > order.lifetimeMillis()) {
-            seen.put(order.orderId(), EngineInventory.Outcome.IGNORED);
+            outcomes.put(order.orderId(), EngineInventory.Outcome.IGNORED);
             return;
         }
         if (checksFencing && order.fencing() < highestFencing) {
-            seen.put(order.orderId(), EngineInventory.Outcome.REFUSED);
+            outcomes.put(order.orderId(), EngineInventory.Outcome.REFUSED);
             return;
         }
         highestFencing = Math.max(highestFencing, order.fencing());
@@ -49,19 +49,19 @@
 
     private void carryOut(EngineOrder order, long now) {
         if (order.kind() == OrderKind.SET_ROLE) {
-            seen.put(order.orderId(), EngineInventory.Outcome.DONE);
+            outcomes.put(order.orderId(), EngineInventory.Outcome.DONE);
             return;
         }
         ModelId model = order.model().orElseThrow();
         boolean load = order.kind() == OrderKind.LOAD_MODEL;
         if (load == copies.containsKey(model)) {
-            seen.put(order.orderId(), EngineInventory.Outcome.REFUSED);
+            outcomes.put(order.orderId(), EngineInventory.Outcome.REFUSED);
             return;
         }
         long mebibytes = load ? order.mebibytes() : copies.get(model).mebibytes();
-        copies.put(model, new Copy(mebibytes, !load, now + workMillis));
-        doneAt.put(order.orderId(), now + workMillis);
-        seen.put(order.orderId(), EngineInventory.Outcome.RUNNING);
+        copies.put(model, new Copy(mebibytes, !load, now + changeMillis));
+        doneAt.put(order.orderId(), now + changeMillis);
+        outcomes.put(order.orderId(), EngineInventory.Outcome.RUNNING);
         highestUsed = Math.max(highestUsed, used());
     }
 
@@ -74,7 +74,7 @@
                 .forEach(
                         order -> {
                             doneAt.remove(order);
-                            seen.put(order, EngineInventory.Outcome.DONE);
+                            outcomes.put(order, EngineInventory.Outcome.DONE);
                         });
     }
 
@@ -104,8 +104,11 @@
                 "serve",
                 List.of(new EngineInventory.AcceleratorState(ACCELERATOR, capacity, used())),
                 models,
-                seen.entrySet().stream()
-                        .map(e -> new EngineInventory.OrderState(e.getKey(), e.getValue()))
+                outcomes.entrySet().stream()
+                        .map(
+                                entry ->
+                                        new EngineInventory.OrderState(
+                                                entry.getKey(), entry.getValue()))
                         .toList());
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/Attempt.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/Attempt.java
@@ -11,7 +11,7 @@
 import org.tamaracktrack.core.error.Ran;
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.core.target.AnswerState;
-import org.tamaracktrack.core.target.Usage;
+import org.tamaracktrack.core.target.TokenUsageParser;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.frame.Connection;
 import org.tamaracktrack.link.http.HttpFailure;
@@ -32,7 +32,7 @@
     private final long arrivedAtMillis;
     private final AttemptListener listener;
     private final AnswerState answer = AnswerState.waiting();
-    private final Usage usage = Usage.empty();
+    private final TokenUsageParser usage = TokenUsageParser.empty();
     private final ByteArrayOutputStream refusal = new ByteArrayOutputStream();
     private Optional<HttpStream> stream = Optional.empty();
     private Optional<ErrorCode> cancelledWith = Optional.empty();
@@ -225,7 +225,7 @@
             if (withheldHead.isPresent()) {
                 notRun = EngineRefusal.read(headStatus, refusal.toByteArray());
                 if (notRun.isPresent()) {
-                    answer.notRun();
+                    answer.markNotRun();
                 } else {
                     passWithheld();
                 }
@@ -259,7 +259,7 @@
             cancelled = cancelledWith;
             started = headStatus > 0;
             if (failure == HttpFailure.NOT_SENT) {
-                answer.notRun();
+                answer.markNotRun();
             }
         }
         if (failure == HttpFailure.NOT_SENT) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineClient.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineClient.java
@@ -9,7 +9,7 @@
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.target.EngineInventory;
-import org.tamaracktrack.core.target.Moment;
+import org.tamaracktrack.core.target.HostTime;
 import org.tamaracktrack.core.target.OrderAction;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.codec.Codecs;
@@ -47,12 +47,12 @@
                 });
     }
 
-    static Moment now() {
-        return Moment.of(ControlThread.nowMillis(), System.currentTimeMillis());
+    static HostTime now() {
+        return HostTime.of(ControlThread.nowMillis(), System.currentTimeMillis());
     }
 
     /** An inventory and the moment before it was asked for. */
-    record Reading(EngineInventory inventory, Moment requestedAt) {}
+    record Reading(EngineInventory inventory, HostTime requestedAt) {}
 
     /** Reads the inventory after a delay; the reader hears of it, or the other that it failed. */
     void readInventory(
@@ -68,7 +68,7 @@
     }
 
     private void readNow(InetSocketAddress address, Consumer<Reading> reader, Runnable onFailure) {
-        Moment requestedAt = now();
+        HostTime requestedAt = now();
         try {
             HttpAnswer answer =
                     http.call(HttpCall.get(address, "/admin/inventory", TIMEOUT_MILLIS));
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineKeeper.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineKeeper.java
@@ -24,17 +24,17 @@
 import org.tamaracktrack.core.report.CounterName;
 import org.tamaracktrack.core.report.MoveCause;
 import org.tamaracktrack.core.report.MoveKind;
-import org.tamaracktrack.core.target.Change;
 import org.tamaracktrack.core.target.EngineInventory;
-import org.tamaracktrack.core.target.LoadPace;
 import org.tamaracktrack.core.target.OrderAction;
-import org.tamaracktrack.core.target.OrderControl;
+import org.tamaracktrack.core.target.OrderController;
 import org.tamaracktrack.core.target.OrderKind;
 import org.tamaracktrack.core.target.OrderMessage;
 import org.tamaracktrack.core.target.OrderSettings;
-import org.tamaracktrack.core.target.Residency;
+import org.tamaracktrack.core.target.ResidencyChange;
 import org.tamaracktrack.core.target.ResidencyDecision;
+import org.tamaracktrack.core.target.ResidencyPlanner;
 import org.tamaracktrack.core.target.ResidencyView;
+import org.tamaracktrack.core.target.TargetLoadRateLimiter;
 import org.tamaracktrack.daemon.counters.Counters;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
@@ -57,14 +57,14 @@
     private final Submissions submissions;
     private final Counters counters;
     private final TargetMeters meters;
-    private final OrderControl orders;
+    private final OrderController orders;
     private final RetryDelays retryDelays = RetryDelays.empty();
     private final LoadTimes loadTimes = LoadTimes.empty();
     private final Strays strays = Strays.empty();
     private Configuration configuration;
     private InetSocketAddress address;
     private long configuredAtMillis;
-    private LoadPace pace;
+    private TargetLoadRateLimiter pace;
     private Optional<LogEntry.PlanPublished> plan = Optional.empty();
     private Set<ModelId> heldBack = Set.of();
     private Set<Need> ready = Set.of();
@@ -93,7 +93,7 @@
         this.counters = counters;
         this.meters = meters;
         this.orders =
-                OrderControl.of(
+                OrderController.of(
                         new OrderSettings(
                                 target.id(),
                                 self,
@@ -144,7 +144,7 @@
         configuration = now;
         configuredAtMillis = ControlThread.nowMillis();
         address = Endpoint.parse(nowTarget.endpoint());
-        pace = LoadPace.of(now, ControlThread.nowMillis());
+        pace = TargetLoadRateLimiter.of(now, ControlThread.nowMillis());
     }
 
     void plan(LogEntry.PlanPublished now) {
@@ -185,7 +185,7 @@
 
     private void pollAgain() {
         if (!closed) {
-            poll(orders.changesUnderWay().isEmpty() ? POLL_MILLIS : BUSY_POLL_MILLIS);
+            poll(orders.pendingChanges().isEmpty() ? POLL_MILLIS : BUSY_POLL_MILLIS);
         }
     }
 
@@ -212,9 +212,9 @@
             engine.send(address, send, () -> notSent(send.order().orderId()));
         } else if (action instanceof OrderAction.Append append) {
             append(append.entry());
-        } else if (action instanceof OrderAction.Moved moved) {
+        } else if (action instanceof OrderAction.Applied moved) {
             moved(moved.change());
-        } else if (action instanceof OrderAction.NotMoved notMoved) {
+        } else if (action instanceof OrderAction.NotApplied notMoved) {
             retryDelays.failed(notMoved.change(), ControlThread.nowMillis());
             loadTimes.failed(notMoved.change());
             meters.event("orders.without.effect");
@@ -244,7 +244,7 @@
                 });
     }
 
-    private void moved(Change change) {
+    private void moved(ResidencyChange change) {
         retryDelays.succeeded(change);
         loadTimes.done(change, ControlThread.nowMillis());
         moveKind(change.kind())
@@ -277,11 +277,11 @@
         }
         long now = ControlThread.nowMillis();
         noteStrays(now);
-        ResidencyDecision decision = Residency.decide(view(orders.inventory().get()));
+        ResidencyDecision decision = ResidencyPlanner.decide(view(orders.inventory().get()));
         heldBack = decision.heldBack();
         decision.changes().stream()
                 .filter(change -> retryDelays.isDue(change, now))
-                .filter(change -> !orders.isUnderWay(change))
+                .filter(change -> !orders.isPending(change))
                 .forEach(change -> order(change, now));
         publishReady(readyNeeds());
         delayUnmet(decision, now);
@@ -320,29 +320,29 @@
                 plan,
                 inventory,
                 orders.free(),
-                orders.changesUnderWay(),
+                orders.pendingChanges(),
                 needsToMeet(ControlThread.nowMillis()),
                 submissions.inUse(),
                 pace.waitMillis(ControlThread.nowMillis()) == 0,
                 submissions.lastUsedMillis());
     }
 
-    private void order(Change change, long now) {
+    private void order(ResidencyChange change, long now) {
         boolean onItsOwn =
                 change.cause().equals(CAUSE_REQUEST) || change.cause().equals(CAUSE_VERSION);
         if (!orders.mayOrder() || (onItsOwn && !mayMoveOnItsOwn(change, now))) {
             return;
         }
-        handle(new OrderMessage.Wanted(change));
-        if (orders.isUnderWay(change)) {
+        handle(new OrderMessage.ChangeRequested(change));
+        if (orders.isPending(change)) {
             loadTimes.ordered(change, now);
         }
     }
 
     // An unload makes room for a load, so it waits for the pace too: a copy would else be gone long
     // before its room is used.
-    private boolean mayMoveOnItsOwn(Change change, long now) {
-        return change.kind().isLoad() ? pace.take(now) : pace.waitMillis(now) == 0;
+    private boolean mayMoveOnItsOwn(ResidencyChange change, long now) {
+        return change.kind().isLoad() ? pace.tryAcquire(now) : pace.waitMillis(now) == 0;
     }
 
     private void delayUnmet(ResidencyDecision decision, long now) {
@@ -358,7 +358,7 @@
 
     private long delayMillis(Need need, ResidencyDecision decision, long now) {
         boolean mayNotOrder = !logReachable && !orders.mayOrder();
-        if (decision.impossible().contains(need)
+        if (decision.unsatisfiable().contains(need)
                 || mayNotOrder
                 || !strays.mayLoad(need.model(), now)) {
             return AdmissionMessage.NEVER;
@@ -373,7 +373,7 @@
     }
 
     private boolean isBeingLoaded(Need need) {
-        return orders.changesUnderWay().stream()
+        return orders.pendingChanges().stream()
                         .anyMatch(change -> change.model().equals(need.model()))
                 || orders.inventory().stream()
                         .flatMap(inventory -> inventory.copiesOf(need.model()).stream())
@@ -402,7 +402,7 @@
     // From the moment an unload is ordered nothing new starts on the copy, or the engine would
     // unload under it.
     private boolean isLeaving(EngineInventory.ModelState copy) {
-        return orders.changesUnderWay().stream()
+        return orders.pendingChanges().stream()
                 .filter(change -> change.kind() == OrderKind.UNLOAD_MODEL)
                 .filter(change -> change.model().equals(copy.model()))
                 .anyMatch(change -> change.accelerator().equals(copy.accelerator()));
@@ -410,7 +410,7 @@
 
     private Stream<Need> needsMetBy(EngineInventory.ModelState copy) {
         Set<Need> leaving = new HashSet<>();
-        orders.changesUnderWay().stream()
+        orders.pendingChanges().stream()
                 .filter(change -> change.kind() == OrderKind.UNLOAD_ADAPTER)
                 .forEach(
                         change ->
@@ -433,7 +433,7 @@
 
     List<ModelId> loading() {
         Map<ModelId, Boolean> loading = new HashMap<>();
-        orders.changesUnderWay().stream()
+        orders.pendingChanges().stream()
                 .filter(change -> change.kind() == OrderKind.LOAD_MODEL)
                 .forEach(change -> loading.put(change.model(), true));
         orders.inventory().stream()
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/LoadTimes.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/LoadTimes.java
@@ -3,14 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.tamaracktrack.core.admission.Need;
-import org.tamaracktrack.core.target.Change;
 import org.tamaracktrack.core.target.OrderKind;
+import org.tamaracktrack.core.target.ResidencyChange;
 
 /** A moving average of how long loads of models and of adapters take. */
 final class LoadTimes {
     private static final double NEWEST_WEIGHT = 0.3;
 
-    private final Map<Change, Long> orderedAt = new HashMap<>();
+    private final Map<ResidencyChange, Long> orderedAt = new HashMap<>();
     private double modelMillis;
     private double adapterMillis;
 
@@ -20,13 +20,13 @@
         return new LoadTimes();
     }
 
-    void ordered(Change change, long nowMillis) {
+    void ordered(ResidencyChange change, long nowMillis) {
         if (change.kind().isLoad()) {
             orderedAt.put(change, nowMillis);
         }
     }
 
-    void done(Change change, long nowMillis) {
+    void done(ResidencyChange change, long nowMillis) {
         Long since = orderedAt.remove(change);
         if (since == null) {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    void failed(Change change) {
+    void failed(ResidencyChange change) {
         orderedAt.remove(change);
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/RetryDelays.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/RetryDelays.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import org.tamaracktrack.core.id.AdapterId;
 import org.tamaracktrack.core.id.ModelId;
-import org.tamaracktrack.core.target.Change;
 import org.tamaracktrack.core.target.OrderKind;
+import org.tamaracktrack.core.target.ResidencyChange;
 
 /** Doubling delays before a change that had no effect is ordered again. */
 final class RetryDelays {
@@ -25,11 +25,11 @@
         return new RetryDelays();
     }
 
-    private static Key key(Change change) {
+    private static Key key(ResidencyChange change) {
         return new Key(change.kind(), change.model(), change.adapter());
     }
 
-    void failed(Change change, long nowMillis) {
+    void failed(ResidencyChange change, long nowMillis) {
         delays.compute(
                 key(change),
                 (key, last) -> {
@@ -41,11 +41,11 @@
                 });
     }
 
-    void succeeded(Change change) {
+    void succeeded(ResidencyChange change) {
         delays.remove(key(change));
     }
 
-    boolean isDue(Change change, long nowMillis) {
+    boolean isDue(ResidencyChange change, long nowMillis) {
         Delay delay = delays.get(key(change));
         return delay == null || nowMillis >= delay.dueAtMillis();
     }
