--- a/core/src/main/java/org/tamaracktrack/core/placement/ExpectedLoss.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/ExpectedLoss.java
@@ -78,7 +78,7 @@
         Map<TargetId, Double> split = new TreeMap<>();
         targets.forEach(target -> split.put(target, freeSlots(target, changed)));
         double total = split.values().stream().mapToDouble(Double::doubleValue).sum();
-        split.replaceAll((target, room) -> room / total);
+        split.replaceAll((target, slots) -> slots / total);
         return split;
     }
 
@@ -126,19 +126,19 @@
      *
      * @param added the model that gets an additional copy
      * @param target the target of the additional copy
-     * @param dropped the models whose copies on that target are removed
+     * @param removed the models whose copies on that target are removed
      * @return additional requests served per second; negative if more requests are rejected
      */
-    double gain(ModelId added, TargetId target, List<ModelId> dropped) {
+    double gain(ModelId added, TargetId target, List<ModelId> removed) {
         Map<TargetId, TargetLoad> changedLoads = new HashMap<>();
-        dropped.forEach(
+        removed.forEach(
                 model -> reassign(model, without(layout.targetsOf(model), target), changedLoads));
         reassign(added, with(layout.targetsOf(added), target), changedLoads);
         return changedLoads.entrySet().stream()
                 .mapToDouble(
-                        one ->
-                                lostPerSecond(one.getKey())
-                                        - lostPerSecond(one.getKey(), one.getValue()))
+                        load ->
+                                lostPerSecond(load.getKey())
+                                        - lostPerSecond(load.getKey(), load.getValue()))
                 .sum();
     }
 
@@ -146,9 +146,9 @@
             ModelId model, List<TargetId> targets, Map<TargetId, TargetLoad> changedLoads) {
         ModelDemand demand = view.demand(model);
         splits.getOrDefault(model, Map.of())
-                .forEach((one, share) -> addToChanged(one, demand, -share, changedLoads));
+                .forEach((target, share) -> addToChanged(target, demand, -share, changedLoads));
         split(targets, changedLoads)
-                .forEach((one, share) -> addToChanged(one, demand, share, changedLoads));
+                .forEach((target, share) -> addToChanged(target, demand, share, changedLoads));
     }
 
     private void addToChanged(
@@ -166,7 +166,7 @@
     }
 
     private static List<TargetId> without(List<TargetId> targets, TargetId target) {
-        return targets.stream().filter(one -> !one.equals(target)).toList();
+        return targets.stream().filter(other -> !other.equals(target)).toList();
     }
 
     private static List<TargetId> with(List<TargetId> targets, TargetId target) {
--- a/core/src/main/java/org/tamaracktrack/core/placement/HysteresisPlacement.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/HysteresisPlacement.java
@@ -31,7 +31,7 @@
     private final Map<ModelId, Long> profitableSince = new HashMap<>();
 
     /** An additional copy, the models removed from its target to make room, and the net gain. */
-    private record CopyChange(Placement added, List<ModelId> dropped, int moves, double netGain) {}
+    private record CopyChange(Placement added, List<ModelId> removed, int moves, double netGain) {}
 
     private HysteresisPlacement(long paybackMillis, double persistenceFactor) {
         this.paybackMillis = paybackMillis;
@@ -118,7 +118,7 @@
 
     private static void apply(Layout layout, CopyChange change) {
         TargetId target = change.added().target();
-        change.dropped().forEach(model -> layout.remove(model, target));
+        change.removed().forEach(model -> layout.remove(model, target));
         layout.put(change.added());
     }
 
@@ -131,15 +131,15 @@
         Placement added = layout.copyWithAllAdapters(model, target, MoveCause.DEMAND);
         return modelsToRemove(layout, view, added)
                 .map(
-                        dropped -> {
-                            int moves = loads(view, added) + unloads(layout, dropped, target);
+                        removed -> {
+                            int moves = loads(view, added) + unloads(layout, removed, target);
                             double additionallyServed =
-                                    expectedLoss.gain(model, target, dropped)
+                                    expectedLoss.gain(model, target, removed)
                                             * paybackMillis
                                             / 1_000;
                             return new CopyChange(
                                     added,
-                                    dropped,
+                                    removed,
                                     moves,
                                     additionallyServed - view.configuration().moveCost() * moves);
                         });
@@ -152,7 +152,7 @@
             Layout layout, PlanningView view, Placement added) {
         List<Placement> remaining = new ArrayList<>(layout.copiesOn(added.target()));
         remaining.add(added);
-        List<ModelId> dropped = new ArrayList<>();
+        List<ModelId> removed = new ArrayList<>();
         List<Placement> removable =
                 layout.copiesOn(added.target()).stream()
                         .filter(copy -> layout.copyCount(copy.model()) > 1)
@@ -160,15 +160,15 @@
                                 Comparator.comparingDouble(
                                         copy -> demandPerCopy(layout, view, copy.model())))
                         .toList();
-        for (Placement extra : removable) {
+        for (Placement candidate : removable) {
             if (layout.fitsLargestFirst(added.target(), remaining)) {
                 break;
             }
-            remaining.remove(extra);
-            dropped.add(extra.model());
+            remaining.remove(candidate);
+            removed.add(candidate.model());
         }
         return layout.fitsLargestFirst(added.target(), remaining)
-                ? Optional.of(dropped)
+                ? Optional.of(removed)
                 : Optional.empty();
     }
 
@@ -191,8 +191,8 @@
         return model + (int) adapters;
     }
 
-    private static int unloads(Layout layout, List<ModelId> dropped, TargetId target) {
-        return dropped.stream()
+    private static int unloads(Layout layout, List<ModelId> removed, TargetId target) {
+        return removed.stream()
                 .flatMap(model -> layout.get(model, target).stream())
                 .mapToInt(copy -> 1 + copy.adapters().size())
                 .sum();
--- a/core/src/main/java/org/tamaracktrack/core/placement/Planner.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/Planner.java
@@ -70,7 +70,7 @@
         Layout wanted = wanted(remaining, view);
         Set<ModelId> withoutCopy = modelsWithoutCopy(inForce, lost, remaining);
         Layout next = remaining.copy();
-        drop(next, wanted, view);
+        removeReplaced(next, wanted, view);
         add(next, wanted, withoutCopy, view);
         check(remaining, wanted, next, view);
         return next.placements();
@@ -176,7 +176,7 @@
 
     // A planned copy is not loaded yet: its load may fail or take minutes. Removing the other copy
     // before this one is reported ready would leave the model unserved meanwhile.
-    private static void drop(Layout next, Layout wanted, PlanningView view) {
+    private static void removeReplaced(Layout next, Layout wanted, PlanningView view) {
         next.placements().stream()
                 .filter(copy -> wanted.get(copy.model(), copy.target()).isEmpty())
                 .filter(
--- a/core/src/main/java/org/tamaracktrack/core/target/ResidencyPlanner.java
+++ b/core/src/main/java/org/tamaracktrack/core/target/ResidencyPlanner.java
@@ -260,7 +260,7 @@
 
     private long replacementPosition(ModelId model) {
         return view.placedTargetsOf(model).stream()
-                .filter(home -> home.compareTo(view.target()) < 0)
+                .filter(other -> other.compareTo(view.target()) < 0)
                 .count();
     }
 
--- a/core/src/test/java/org/tamaracktrack/core/placement/PlanRegisterTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/placement/PlanRegisterTest.java
@@ -52,9 +52,9 @@
         append(1, 15_000, lease(SECOND, -1));
         append(2, 15_100, plan(SECOND, 1, "runner-2"));
 
-        Optional<LogEntry.PlanPublished> late = append(3, 15_200, plan(FIRST, 0, "runner-1"));
+        Optional<LogEntry.PlanPublished> latePlan = append(3, 15_200, plan(FIRST, 0, "runner-1"));
 
-        assertThat(late).isEmpty();
+        assertThat(latePlan).isEmpty();
         assertThat(register.inForce().orElseThrow().holder()).isEqualTo(SECOND);
         assertThat(register.refused()).isEqualTo(1);
     }
