--- a/core/src/main/java/org/tamaracktrack/core/placement/TargetStatus.java
+++ b/core/src/main/java/org/tamaracktrack/core/placement/TargetStatus.java
@@ -8,7 +8,7 @@
  * The last reported status of a target, as the planner uses it.
  *
  * @param reachable whether it can be reached
- * @param leaving whether it accepts no new requests because it is about to stop
+ * @param leaving whether it accepts no new requests
  * @param running the number of running requests
  * @param queued the number of waiting requests
  * @param resident the models in memory and ready
