--- a/core/src/main/java/org/tamaracktrack/core/exchange/RequestExchange.java
+++ b/core/src/main/java/org/tamaracktrack/core/exchange/RequestExchange.java
@@ -326,7 +326,8 @@
             fail(error);
         } else {
             retryOrFail(
-                    retryRule.afterLostAnswer(code, attemptCount(), nowMillis, parameters.seed()), error);
+                    retryRule.afterLostAnswer(code, attemptCount(), nowMillis, parameters.seed()),
+                    error);
         }
     }
 
--- a/core/src/main/java/org/tamaracktrack/core/fleet/FleetTracker.java
+++ b/core/src/main/java/org/tamaracktrack/core/fleet/FleetTracker.java
@@ -31,7 +31,7 @@
     private final Map<TargetId, TargetEntry> entries = new HashMap<>();
     private final Set<TargetId> missingTargets = new HashSet<>();
     private final Set<TargetIncarnation> departedIncarnations =
-LruMap.setOf(MAX_DEPARTED_INCARNATIONS);
+            LruMap.setOf(MAX_DEPARTED_INCARNATIONS);
     private FleetSnapshot fleet = FleetSnapshot.empty();
     private boolean registryUnavailable;
     private long availableSinceMillis = Long.MIN_VALUE / 2;
--- a/core/src/test/java/org/tamaracktrack/core/dispatch/TargetSelectorTest.java
+++ b/core/src/test/java/org/tamaracktrack/core/dispatch/TargetSelectorTest.java
@@ -31,7 +31,7 @@
 
     private static DispatchRequest request(PromptPart... parts) {
         return new DispatchRequest(
-TargetEntries.ENGINES,
+                TargetEntries.ENGINES,
                 Optional.of(TargetEntries.need("model")),
                 1_460,
                 List.of(parts));
