--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LastMomentTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LeavingTargetTest.java
@@ -49,43 +49,43 @@
 import org.tamaracktrack.link.http.HttpStream;
 import org.xnio.XnioWorker;
 
-/** What is asked right before the first byte of a request leaves. */
-class LastMomentTest {
+/** Tests the check of the target right before the first byte of a request is sent. */
+class LeavingTargetTest {
     private static final ServiceId SERVICE = ServiceId.of("plain");
     private static final DataCentreId HOME = DataCentreId.of("home");
 
-    private final BlockingQueue<Sending> sendings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PendingCall> pendingCalls = new LinkedBlockingQueue<>();
     private XnioWorker worker;
     private DefaultByteBufferPool buffers;
     private Gateway gateway;
 
-    /** A call that waits for a connection. */
-    private record Sending(HttpCall call, BooleanSupplier maySend, HttpListener listener) {}
+    /** A call that waits for its connection. */
+    private record PendingCall(HttpCall call, BooleanSupplier maySend, HttpListener listener) {}
 
     /** Leaves each call waiting for its connection. */
     private final class WaitingCaller implements HttpCaller {
         @Override
         public HttpAnswer call(HttpCall call) {
-            throw new AssertionError("nobody waits for an answer here");
+            throw new AssertionError("unexpected blocking call");
         }
 
         @Override
         public HttpStream stream(HttpCall call, BooleanSupplier maySend, HttpListener listener) {
-            sendings.add(new Sending(call, maySend, listener));
+            pendingCalls.add(new PendingCall(call, maySend, listener));
             return new HttpStream() {
                 @Override
                 public void pause() {
-                    // Nothing flows.
+                    // No bytes are transferred.
                 }
 
                 @Override
                 public void resume() {
-                    // As above.
+                    // No bytes are transferred.
                 }
 
                 @Override
                 public void cancel() {
-                    // As above.
+                    // No bytes are transferred.
                 }
             };
         }
@@ -108,12 +108,12 @@
         }
     }
 
-    /** Headers that say nothing. */
-    private static final class PlainDialect implements CallerDialect {
+    /** Returns the same metadata for all headers. */
+    private static final class FixedHeaderProtocol implements HeaderProtocol {
         @Override
-        public Optional<RequestFacts> request(HeaderMap headers) {
+        public Optional<RequestMetadata> parseRequest(HeaderMap headers) {
             return Optional.of(
-                    new RequestFacts(
+                    new RequestMetadata(
                             "a1",
                             OptionalLong.empty(),
                             Optional.empty(),
@@ -123,13 +123,13 @@
         }
 
         @Override
-        public Map<String, String> toTarget(HeaderMap headers, Send send) {
+        public Map<String, String> toTargetHeaders(HeaderMap headers, ForwardingContext send) {
             return Map.of();
         }
 
         @Override
-        public AnswerFacts answer(int status, Map<String, String> headers) {
-            return new AnswerFacts(Optional.of("a1"), true, false, Optional.empty(), false);
+        public ResponseMetadata parseResponse(int status, Map<String, String> headers) {
+            return new ResponseMetadata(Optional.of("a1"), true, false, Optional.empty(), false);
         }
     }
 
@@ -140,7 +140,7 @@
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         gateway =
                 Gateway.start(
-                        new Gateway.Place(
+                        new Gateway.ServerOptions(
                                 anyPort,
                                 anyPort,
                                 "/ready",
@@ -149,11 +149,11 @@
                         worker,
                         buffers,
                         new WaitingCaller(),
-                        new PlainDialect(),
+                        new FixedHeaderProtocol(),
                         new SimpleMeterRegistry(),
                         new SplittableRandom(1));
         gateway.configure(configuration());
-        gateway.fleet(fleet(false));
+        gateway.updateFleet(fleet(false));
     }
 
     @AfterEach
@@ -184,12 +184,16 @@
     }
 
     private static FleetSnapshot fleet(boolean leaving) {
-        TargetEntry one = entry("r1", leaving);
-        TargetEntry two = entry("r2", false);
+        TargetEntry first = entry("r1", leaving);
+        TargetEntry second = entry("r2", false);
         return leaving
                 ? FleetSnapshot.of(
-                        Map.of(one.incarnation().target(), one, two.incarnation().target(), two))
-                : FleetSnapshot.of(Map.of(one.incarnation().target(), one));
+                        Map.of(
+                                first.incarnation().target(),
+                                first,
+                                second.incarnation().target(),
+                                second))
+                : FleetSnapshot.of(Map.of(first.incarnation().target(), first));
     }
 
     private static TargetEntry entry(String name, boolean leaving) {
@@ -216,27 +220,27 @@
         return socket;
     }
 
-    private Sending sending() throws InterruptedException {
-        Sending sending = sendings.poll(10, TimeUnit.SECONDS);
-        assertThat(sending).isNotNull();
-        return sending;
+    private PendingCall nextCall() throws InterruptedException {
+        PendingCall call = pendingCalls.poll(10, TimeUnit.SECONDS);
+        assertThat(call).isNotNull();
+        return call;
     }
 
-    // Guards against a request that waits for a connection while its target says that it leaves,
-    // and is sent there long after.
+    // Guards against a request that waits for a connection while its target announces that it
+    // leaves, and is sent there long afterwards.
     @Test
-    void shouldSendNothingWhenTheTargetHasLeftWhileTheConnectionWasOpened() throws Exception {
+    void shouldNotSendTheRequestWhenTheTargetLeavesWhileTheConnectionOpens() throws Exception {
         try (Socket inTime = lookup();
                 Socket late = lookup()) {
-            Sending first = sending();
-            Sending second = sending();
+            PendingCall first = nextCall();
+            PendingCall second = nextCall();
             assertThat(first.maySend().getAsBoolean()).isTrue();
 
-            gateway.fleet(fleet(true));
+            gateway.updateFleet(fleet(true));
 
             assertThat(second.maySend().getAsBoolean()).isFalse();
             worker.getIoThread().execute(() -> second.listener().onFailure(HttpFailure.NOT_SENT));
-            assertThat(sending().maySend().getAsBoolean()).isTrue();
+            assertThat(nextCall().maySend().getAsBoolean()).isTrue();
         }
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LinkCheckTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LinkCheckTest.java
@@ -25,35 +25,35 @@
 import org.tamaracktrack.link.http.HttpStream;
 
 class LinkCheckTest {
-    private final List<InetSocketAddress> tried = new ArrayList<>();
+    private final List<InetSocketAddress> probedAddresses = new ArrayList<>();
     private final CompletableFuture<Boolean> answer = new CompletableFuture<>();
     private FleetSnapshot fleet = FleetSnapshot.empty();
     private long nowMillis = 100_000;
     private final LinkCheck check =
             new LinkCheck(new Caller(), () -> fleet, () -> nowMillis, new SplittableRandom(1));
 
-    /** Notes who is tried. */
+    /** Records the addresses that are probed. */
     private final class Caller implements HttpCaller {
         @Override
         public HttpAnswer call(HttpCall call) {
-            throw new AssertionError("nothing is called here");
+            throw new AssertionError("unexpected call");
         }
 
         @Override
         public HttpStream stream(HttpCall call, BooleanSupplier maySend, HttpListener listener) {
-            throw new AssertionError("nothing is called here");
+            throw new AssertionError("unexpected call");
         }
 
         @Override
         public CompletableFuture<Boolean> refusesConnections(
                 InetSocketAddress address, long limitMillis) {
-            throw new AssertionError("nobody asks for it here");
+            throw new AssertionError("unexpected check for refused connections");
         }
 
         @Override
         public CompletableFuture<Boolean> answersConnections(
                 InetSocketAddress address, long limitMillis) {
-            tried.add(address);
+            probedAddresses.add(address);
             return answer;
         }
 
@@ -77,70 +77,71 @@
                 Set.of());
     }
 
-    private void know(int port) {
+    private void useFleetWithTarget(int port) {
         TargetEntry entry = target(port);
         fleet = FleetSnapshot.of(Map.of(entry.incarnation().target(), entry));
     }
 
-    private boolean reached() {
+    private boolean isReachable() {
         return check.reachesTargets().getNow(false);
     }
 
     @Test
-    void shouldReachOthersWhenATargetAnswers() {
-        know(80);
-        assertThat(reached()).isFalse();
+    void shouldReportReachableWhenATargetAnswers() {
+        useFleetWithTarget(80);
+        assertThat(isReachable()).isFalse();
 
         answer.complete(true);
 
-        assertThat(reached()).isTrue();
+        assertThat(isReachable()).isTrue();
     }
 
-    // Guards against a follower that ends for good since one entry has an address of no host.
+    // Guards against a follower that stops for good because one entry has an invalid address.
     @Test
-    void shouldReachNobodyWhenAnAddressCanNotBeTried() {
-        know(70_000);
+    void shouldReportUnreachableWhenAnAddressIsInvalid() {
+        useFleetWithTarget(70_000);
 
-        assertThat(reached()).isFalse();
+        assertThat(isReachable()).isFalse();
     }
 
-    // Guards against hundreds of daemons that take the targets' connections in an outage.
+    // Guards against hundreds of daemons that use up the targets' connections in an outage.
     @Test
-    void shouldTryOnceWhenChecksAreAskedForTogether() {
-        know(80);
+    void shouldShareACheckAmongCallsWithinAShortTime() {
+        useFleetWithTarget(80);
         check.reachesTargets();
-        int before = tried.size();
+        int probesBefore = probedAddresses.size();
 
         nowMillis += 80;
         check.reachesTargets();
 
-        assertThat(tried).hasSize(before);
+        assertThat(probedAddresses).hasSize(probesBefore);
         nowMillis += 40;
         check.reachesTargets();
-        assertThat(tried.size()).isGreaterThan(before);
+        assertThat(probedAddresses.size()).isGreaterThan(probesBefore);
     }
 
     @Test
-    void shouldTryNobodyWhenATargetHasAnsweredARequestAtOnce() {
-        know(80);
-        check.answered(nowMillis - 100);
+    void shouldNotProbeWhenATargetAnsweredARecentRequestPromptly() {
+        useFleetWithTarget(80);
+        check.recordAnswer(nowMillis - 100);
 
-        assertThat(reached()).isTrue();
-        assertThat(tried).isEmpty();
+        assertThat(isReachable()).isTrue();
+        assertThat(probedAddresses).isEmpty();
     }
 
-    // Guards against a link that passes for free since a request was answered after long.
+    // Guards against a saturated link that is reported as free because of a request that was
+    // answered late.
     @Test
-    void shouldTryATargetWhenARequestWasAnsweredLate() {
-        know(80);
-        check.answered(nowMillis - 300);
+    void shouldProbeWhenARequestWasAnsweredLate() {
+        useFleetWithTarget(80);
+        check.recordAnswer(nowMillis - 300);
 
-        assertThat(reached()).isFalse();
-        assertThat(tried).isNotEmpty();
+        assertThat(isReachable()).isFalse();
+        assertThat(probedAddresses).isNotEmpty();
     }
 
     @Test
-    void shouldReachOthersWhenNoTargetIsKnown() {
-        assertThat(reached()).isTrue();
+    void shouldReportReachableWhenNoTargetIsKnown() {
+        assertThat(isReachable()).isTrue();
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/quarantine/QuarantineExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/quarantine/QuarantineExchangeTest.java
@@ -59,7 +59,7 @@
 
     @Test
     void shouldHoldARequestAndWriteItsEndsDown() {
-        exchange.onEnded(ends(3));
+        exchange.onTargetEnded(ends(3));
 
         pair.await(() -> told.held().contains(REQUEST));
         pair.await(() -> log.records().size() == 3);
@@ -68,7 +68,7 @@
     // Guards against ends that are known to one daemon only.
     @Test
     void shouldHoldARequestWhenOthersWroteItsEnds() {
-        exchange.onEnded(ends(3));
+        exchange.onTargetEnded(ends(3));
         pair.await(() -> log.records().size() == 3);
         Quarantine[] other = {Quarantine.empty()};
         QuarantineExchange another =
@@ -85,7 +85,7 @@
     void shouldWriteAgainWhenTheAnswerIsLost() {
         log.loseNextAnswer();
 
-        exchange.onEnded(ends(1));
+        exchange.onTargetEnded(ends(1));
 
         pair.await(() -> log.records().size() == 2);
         assertThat(written().get(0).key()).isEqualTo(written().get(1).key());
@@ -93,10 +93,10 @@
 
     @Test
     void shouldDropTheEndsWhenTheRequestIsAnswered() {
-        exchange.onEnded(ends(2));
+        exchange.onTargetEnded(ends(2));
         pair.await(() -> log.records().size() == 2);
 
-        exchange.onAnswered(REQUEST);
+        exchange.onRequestAnswered(REQUEST);
 
         pair.await(() -> log.records().size() == 4);
         assertThat(told.isEmpty()).isTrue();
@@ -108,10 +108,10 @@
     void shouldDropAnEndThatWasBeingWrittenWhenTheRequestIsAnswered() {
         CompletableFuture<Void> go = new CompletableFuture<>();
         pair.onControl(() -> log.holdAppends(go));
-        exchange.onEnded(ends(1));
+        exchange.onTargetEnded(ends(1));
         pair.await(() -> log.records().size() == 1);
 
-        exchange.onAnswered(REQUEST);
+        exchange.onRequestAnswered(REQUEST);
         pair.onControl(() -> go.complete(null));
 
         pair.await(() -> log.records().size() == 2);
