--- a/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
@@ -66,7 +66,7 @@
             EntryRole entry = EntryRole.start(runtime, settings.routing(), settings.placement());
             ConfigurationSnapshotter.start(
                     configuration, log, control, () -> entry.holds(Duty.REPORTER));
-            return new DaemonProcess(runtime, entry, front(runtime, entry, entry.callers()));
+            return new DaemonProcess(runtime, entry, front(runtime, entry, entry.callerHandler()));
         }
         TargetRole target = TargetRole.start(runtime, settings.admission());
         return new DaemonProcess(
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/AccountRates.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/AccountRates.java
@@ -9,9 +9,9 @@
 import org.tamaracktrack.core.report.RequestOutcome;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
-/** Holds each client account to its requests a second at this daemon. For any thread. */
+/** Limits the request rate of each client account at this daemon. Thread-safe. */
 final class AccountRates {
-    private final Map<ClientAccountId, RequestRateLimiter> buckets = new ConcurrentHashMap<>();
+    private final Map<ClientAccountId, RequestRateLimiter> limiters = new ConcurrentHashMap<>();
 
     private AccountRates() {}
 
@@ -19,12 +19,16 @@
         return new AccountRates();
     }
 
+    /**
+     * Admits a request that is within the rate of its account. Otherwise counts the request as
+     * refused and throws an exception with the code {@link ErrorCode#ACCOUNT_LIMIT}.
+     */
     void admit(CallerRequest request, EntryMetrics metrics) {
         long now = ControlThread.nowMillis();
-        RequestRateLimiter bucket =
-                buckets.computeIfAbsent(
+        RequestRateLimiter limiter =
+                limiters.computeIfAbsent(
                         request.account().id(), key -> RequestRateLimiter.full(now));
-        if (!bucket.tryAcquire(request.account().ratePerSecond(), now)) {
+        if (!limiter.tryAcquire(request.account().ratePerSecond(), now)) {
             metrics.count(request, RequestOutcome.OFFERED);
             metrics.count(request, RequestOutcome.refused(ErrorCode.ACCOUNT_LIMIT));
             throw TamaracktrackException.of(
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/Authentication.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/Authentication.java
@@ -7,22 +7,22 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Finds the client account that a key proves. */
+/** Authenticates a client account by the key that the caller sends as a bearer token. */
 final class Authentication {
     private static final String SCHEME = "bearer ";
 
     private Authentication() {}
 
-    static Configuration.ClientAccount account(
+    static Configuration.ClientAccount authenticate(
             Configuration configuration, Optional<String> authorization) {
         byte[] hash =
                 authorization
                         .filter(text -> text.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
                         .map(text -> Hashes.sha256(text.substring(SCHEME.length()).trim()))
                         .map(text -> text.getBytes(StandardCharsets.US_ASCII))
-                        .orElseThrow(Authentication::refused);
-        // A comparison that ends at the first wrong byte tells a stranger by its duration how much
-        // of a hash was right; every key is compared, and each in constant time.
+                        .orElseThrow(Authentication::unauthenticated);
+        // Compares every key, each in constant time: a comparison that stops at the first
+        // different byte would reveal through its duration how much of a hash was right.
         Configuration.ClientAccount found = null;
         for (Configuration.ClientAccount account : configuration.accounts().values()) {
             for (String keyHash : account.keyHashes()) {
@@ -31,10 +31,10 @@
                 }
             }
         }
-        return Optional.ofNullable(found).orElseThrow(Authentication::refused);
+        return Optional.ofNullable(found).orElseThrow(Authentication::unauthenticated);
     }
 
-    private static TamaracktrackException refused() {
+    private static TamaracktrackException unauthenticated() {
         return TamaracktrackException.of(
                 ErrorCode.UNAUTHENTICATED, "send Authorization: Bearer with a valid key");
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerChannel.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerChannel.java
@@ -3,40 +3,45 @@
 import java.util.Map;
 
 /**
- * The way back to a caller. Used only on the thread of the caller's connection, which {@link
- * #execute} reaches from others.
+ * Sends the answer to a caller. All methods except {@link #execute} must be called on the thread of
+ * the caller's connection; other threads use {@link #execute} to run a task there.
  */
 interface CallerChannel {
 
-    /** Hears what becomes of the answer. */
+    /** Is notified of the progress of the answer, on the thread of the caller's connection. */
     interface Listener {
 
-        /** Bytes were written. */
+        /** Called after bytes of the answer were written. */
         void onWritten(int bytes);
 
-        /** The caller's connection closed before its answer was written. */
-        void onGone();
+        /** Called when the caller's connection closed before the answer was written completely. */
+        void onDisconnected();
 
-        /** The answer is written, or will never be. */
-        void onDone();
+        /** Called once when the answer was written completely or never will be. */
+        void onCompleted();
     }
 
+    /** Runs a task on the thread of the caller's connection. Thread-safe. */
     void execute(Runnable task);
 
-    void after(long delayMillis, Runnable task);
+    /** Runs a task on the thread of the caller's connection after a delay in milliseconds. */
+    void executeAfter(long delayMillis, Runnable task);
 
+    /** Sets the listener. Must be called before the answer is sent. */
     void listen(Listener listener);
 
-    void whole(int status, Map<String, String> headers, byte[] body);
+    /** Sends a complete answer, with its length. */
+    void sendWhole(int status, Map<String, String> headers, byte[] body);
 
-    void head(int status, Map<String, String> headers);
+    /** Sends the head of an answer of unknown length. */
+    void sendHead(int status, Map<String, String> headers);
 
-    void part(byte[] bytes);
+    void sendPart(byte[] bytes);
 
-    void end();
+    void sendEnd();
 
-    void error(CallerError error);
+    void sendError(CallerError error);
 
-    /** Breaks the connection off. */
-    void cut();
+    /** Closes the connection abruptly, so that an incomplete answer does not appear complete. */
+    void abort();
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerError.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerError.java
@@ -8,12 +8,12 @@
 import org.tamaracktrack.link.codec.Codecs;
 
 /**
- * The one shape of an error towards callers.
+ * An error answer to a caller. All errors have this form.
  *
- * @param code what failed
- * @param message a sentence for people
+ * @param code the error
+ * @param message a sentence for a human reader
  * @param ran whether the request ran
- * @param retryAfterMillis when trying again makes sense, or -1
+ * @param retryAfterMillis after how many milliseconds a retry makes sense, or -1
  */
 record CallerError(ErrorCode code, String message, Ran ran, long retryAfterMillis) {
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
@@ -29,7 +29,7 @@
                 code.retryable() && retryAfterMillis < 0
                         ? DEFAULT_RETRY_AFTER_MILLIS
                         : retryAfterMillis;
-        return new CallerError(code, sentence(code), ran, retryAfter);
+        return new CallerError(code, defaultMessage(code), ran, retryAfter);
     }
 
     static CallerError of(ErrorCode code) {
@@ -51,13 +51,13 @@
             @JsonProperty("ran") Ran ran,
             @JsonProperty("retry_after_millis") Long retryAfterMillis) {}
 
-    byte[] json() {
+    byte[] toJson() {
         Long retryAfter = retryAfterMillis < 0 ? null : Long.valueOf(retryAfterMillis);
         return Codecs.encode(
                 Codecs.json(), new Shape(new Detail(code.name(), message, ran, retryAfter)));
     }
 
-    private static String sentence(ErrorCode code) {
+    private static String defaultMessage(ErrorCode code) {
         return switch (code) {
             case OVERLOADED -> "the queue of this class is full";
             case ACCOUNT_LIMIT -> "this account is over its rate or its share of requests at once";
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerHandler.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerHandler.java
@@ -17,9 +17,9 @@
 import org.tamaracktrack.daemon.connection.CallerConnection;
 import org.xnio.XnioExecutor;
 
-/** Takes callers' HTTP requests: reads and checks them, and starts their runs. */
+/** Handles callers' HTTP requests: reads and validates them, and starts their processing. */
 final class CallerHandler implements HttpHandler {
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_BODY = {};
 
     private final ConfigurationSource configuration;
     private final RequestServices services;
@@ -27,7 +27,7 @@
     private final CallerLimits limits;
     private final AtomicInteger connections = new AtomicInteger();
     private volatile boolean draining;
-    private volatile boolean refusing;
+    private volatile boolean refusingRequests;
 
     private CallerHandler(
             ConfigurationSource configuration,
@@ -41,13 +41,13 @@
     }
 
     /**
-     * The limits of what callers may send.
+     * The limits on what callers may send.
      *
-     * @param bodyBytes the largest body
-     * @param connections how many connections are served at once
-     * @param bodyMillis how long a body may take to arrive
+     * @param maximumBodyBytes the maximum size of a request body
+     * @param maximumConnections the maximum number of concurrent connections
+     * @param bodyTimeoutMillis the maximum time until a body has arrived completely
      */
-    record CallerLimits(int bodyBytes, int connections, long bodyMillis) {}
+    record CallerLimits(int maximumBodyBytes, int maximumConnections, long bodyTimeoutMillis) {}
 
     static CallerHandler of(
             ConfigurationSource configuration,
@@ -57,25 +57,25 @@
         return new CallerHandler(configuration, services, rates, limits);
     }
 
-    /** From now on connections are closed after their answer. */
+    /** Closes each connection after its next answer from now on. Thread-safe. */
     void drain() {
         draining = true;
     }
 
-    /** From now on new requests are refused. */
-    void refuse() {
-        refusing = true;
+    /** Refuses new requests from now on with {@link ErrorCode#LEAVING}. Thread-safe. */
+    void refuseRequests() {
+        refusingRequests = true;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         CallerConnection connection = CallerConnection.of(exchange, connections);
-        boolean crowded = connections.get() > limits.connections();
+        boolean overLimit = connections.get() > limits.maximumConnections();
         UndertowCallerChannel channel =
                 UndertowCallerChannel.of(
                         exchange, connection, () -> draining || !exchange.isRequestComplete());
         try {
-            if (crowded) {
+            if (overLimit) {
                 exchange.setPersistent(false);
                 throw TamaracktrackException.of(
                         ErrorCode.TOO_MANY_CONNECTIONS, "too many connections are open");
@@ -87,9 +87,9 @@
     }
 
     private void admit(HttpServerExchange exchange, UndertowCallerChannel channel) {
-        CallerHttp http = headOf(exchange);
+        CallerHttpRequest http = readHead(exchange);
         CallerPaths.check(http.method(), http.path());
-        if (refusing) {
+        if (refusingRequests) {
             throw TamaracktrackException.of(ErrorCode.LEAVING, "this server is being stopped");
         }
         Configuration current =
@@ -101,77 +101,77 @@
                                                 ErrorCode.NOT_READY, "no configuration yet"))
                         .configuration();
         Configuration.ClientAccount account =
-                Authentication.account(current, http.header("authorization"));
+                Authentication.authenticate(current, http.header("authorization"));
         if (http.path().equals(CallerPaths.MODELS)) {
             exchange.dispatch();
-            channel.listen(new Unheard());
-            channel.whole(
+            channel.listen(new NoOpListener());
+            channel.sendWhole(
                     200,
                     Map.of("content-type", "application/json"),
-                    ModelList.json(current, account));
+                    ModelList.toJson(current, account));
             return;
         }
         readBody(exchange, channel, http, current, account);
     }
 
-    private static CallerHttp headOf(HttpServerExchange exchange) {
+    private static CallerHttpRequest readHead(HttpServerExchange exchange) {
         Map<String, String> headers = new HashMap<>();
         for (HeaderValues values : exchange.getRequestHeaders()) {
             headers.put(
                     values.getHeaderName().toString().toLowerCase(Locale.ROOT), values.getFirst());
         }
         String query = exchange.getQueryString();
-        return new CallerHttp(
+        return new CallerHttpRequest(
                 exchange.getRequestMethod().toString(),
                 exchange.getRequestURI(),
                 query.isEmpty() ? "" : "?" + query,
                 headers,
-                NOTHING);
+                NO_BODY);
     }
 
     private void readBody(
             HttpServerExchange exchange,
             UndertowCallerChannel channel,
-            CallerHttp http,
+            CallerHttpRequest http,
             Configuration current,
             Configuration.ClientAccount account) {
-        exchange.setMaxEntitySize(limits.bodyBytes());
-        exchange.getRequestReceiver().setMaxBufferSize(limits.bodyBytes());
-        AtomicBoolean over = new AtomicBoolean();
-        // A caller that sends its body a byte at a time would hold its connection and buffer for
-        // as long as it likes.
+        exchange.setMaxEntitySize(limits.maximumBodyBytes());
+        exchange.getRequestReceiver().setMaxBufferSize(limits.maximumBodyBytes());
+        AtomicBoolean handled = new AtomicBoolean();
+        // Without a timeout, a caller that sends its body byte by byte would occupy a connection
+        // and its buffer without limit.
         XnioExecutor.Key timer =
                 exchange.getIoThread()
                         .executeAfter(
                                 () -> {
-                                    if (over.compareAndSet(false, true)) {
-                                        answerError(exchange, channel, tooSlow());
+                                    if (handled.compareAndSet(false, true)) {
+                                        answerError(exchange, channel, bodyTimeout());
                                     }
                                 },
-                                limits.bodyMillis(),
+                                limits.bodyTimeoutMillis(),
                                 TimeUnit.MILLISECONDS);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (same, body) -> {
+                        (sameExchange, body) -> {
                             timer.remove();
-                            if (over.compareAndSet(false, true)) {
+                            if (handled.compareAndSet(false, true)) {
                                 start(exchange, channel, http.withBody(body), current, account);
                             }
                         },
-                        (same, failure) -> {
+                        (sameExchange, failure) -> {
                             timer.remove();
-                            if (over.compareAndSet(false, true)) {
-                                answerError(exchange, channel, bodyFailure(failure));
+                            if (handled.compareAndSet(false, true)) {
+                                answerError(exchange, channel, bodyTooLarge(failure));
                             }
                         });
     }
 
-    private static TamaracktrackException tooSlow() {
+    private static TamaracktrackException bodyTimeout() {
         return TamaracktrackException.of(
                 ErrorCode.REQUEST_TOO_SLOW, "the body did not arrive in time");
     }
 
-    private static TamaracktrackException bodyFailure(IOException failure) {
+    private static TamaracktrackException bodyTooLarge(IOException failure) {
         return TamaracktrackException.of(
                 ErrorCode.BODY_TOO_LARGE, "the body is larger than this server takes", failure);
     }
@@ -179,7 +179,7 @@
     private void start(
             HttpServerExchange exchange,
             UndertowCallerChannel channel,
-            CallerHttp http,
+            CallerHttpRequest http,
             Configuration current,
             Configuration.ClientAccount account) {
         try {
@@ -196,21 +196,21 @@
             HttpServerExchange exchange,
             UndertowCallerChannel channel,
             TamaracktrackException failure) {
-        services.metrics().error(failure.code());
+        services.metrics().countError(failure.code());
         exchange.dispatch();
-        channel.listen(new Unheard());
-        channel.error(CallerError.of(failure));
+        channel.listen(new NoOpListener());
+        channel.sendError(CallerError.of(failure));
     }
 
-    /** Nobody waits to hear of an answer that is complete at once. */
-    private static final class Unheard implements CallerChannel.Listener {
+    /** Ignores notifications, for answers that are sent completely in one call. */
+    private static final class NoOpListener implements CallerChannel.Listener {
         @Override
         public void onWritten(int bytes) {}
 
         @Override
-        public void onGone() {}
+        public void onDisconnected() {}
 
         @Override
-        public void onDone() {}
+        public void onCompleted() {}
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerHttp.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerHttpRequest.java
@@ -5,18 +5,18 @@
 import java.util.Optional;
 
 /**
- * A caller's HTTP request as read.
+ * A caller's HTTP request as received, before validation.
  *
- * @param method the method
+ * @param method the HTTP method
  * @param path the path, not decoded
- * @param query the query with its question mark, or nothing
- * @param headers the headers, names in lower case, the first value of each
+ * @param query the query string with its leading question mark, or an empty string
+ * @param headers the headers by name in lower case, with the first value of each
  * @param body the body
  */
-record CallerHttp(
+record CallerHttpRequest(
         String method, String path, String query, Map<String, String> headers, byte[] body) {
 
-    CallerHttp {
+    CallerHttpRequest {
         Objects.requireNonNull(method, "method is null");
         Objects.requireNonNull(path, "path is null");
         Objects.requireNonNull(body, "body is null");
@@ -27,7 +27,7 @@
         return Optional.ofNullable(headers.get(name));
     }
 
-    CallerHttp withBody(byte[] newBody) {
-        return new CallerHttp(method, path, query, headers, newBody);
+    CallerHttpRequest withBody(byte[] newBody) {
+        return new CallerHttpRequest(method, path, query, headers, newBody);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerPaths.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerPaths.java
@@ -4,7 +4,7 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** The paths that callers may use. */
+/** Validates the paths and methods of callers' HTTP requests. */
 final class CallerPaths {
     static final String MODELS = "/v1/models";
     private static final Set<String> COMPLETIONS =
@@ -12,15 +12,16 @@
 
     private CallerPaths() {}
 
+    /** Throws if no resource exists at the path or the path does not support the method. */
     static void check(String method, String path) {
         if (path.startsWith(RequestReader.SERVICES_PATH)) {
             return;
         }
-        boolean models = path.equals(MODELS);
-        if (!models && !COMPLETIONS.contains(path)) {
+        boolean isModelList = path.equals(MODELS);
+        if (!isModelList && !COMPLETIONS.contains(path)) {
             throw TamaracktrackException.of(ErrorCode.NOT_FOUND, "there is nothing at this path");
         }
-        if (!method.equals(models ? "GET" : "POST")) {
+        if (!method.equals(isModelList ? "GET" : "POST")) {
             throw TamaracktrackException.of(
                     ErrorCode.METHOD_NOT_ALLOWED, "the path does not take " + method);
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerRequest.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/CallerRequest.java
@@ -9,27 +9,27 @@
 import org.tamaracktrack.core.routing.RoutingQuery;
 
 /**
- * A caller's request, checked.
+ * A caller's request after validation.
  *
- * @param account who asks
- * @param requestClass the class whose objectives hold
- * @param query what it needs of a target
- * @param idempotent whether it may be run again
- * @param key the idempotency key, for a request that needs a claim
- * @param stream whether the caller reads a stream
- * @param method the HTTP method towards the target
- * @param path path and query towards the target
- * @param headers headers to pass on
+ * @param account the client account of the caller
+ * @param requestClass the request class, whose objectives apply
+ * @param routingQuery the requirements on a target
+ * @param idempotent whether the request may be run more than once
+ * @param idempotencyKey the idempotency key, if the request must claim one before it runs
+ * @param streaming whether the caller requested a streamed answer
+ * @param method the HTTP method sent to the target
+ * @param path the path and query sent to the target
+ * @param headers the headers forwarded to the target
  * @param body the body
- * @param estimatedTokens the estimated cost
+ * @param estimatedTokens the estimated cost, in tokens
  */
 record CallerRequest(
         Configuration.ClientAccount account,
         Configuration.RequestClass requestClass,
-        RoutingQuery query,
+        RoutingQuery routingQuery,
         boolean idempotent,
-        Optional<Key> key,
-        boolean stream,
+        Optional<IdempotencyKey> idempotencyKey,
+        boolean streaming,
         String method,
         String path,
         Map<String, String> headers,
@@ -45,20 +45,21 @@
     /**
      * An idempotency key.
      *
-     * @param keyHash its hash
-     * @param requestHash the hash of method, path and body
-     * @param createdAtMillis when it was made, if that is known
+     * @param keyHash the hash of the key
+     * @param requestHash the hash of method, path, query and body
+     * @param createdAtMillis when the key was created, in milliseconds since the epoch, if known
      */
-    record Key(String keyHash, String requestHash, OptionalLong createdAtMillis) {}
+    record IdempotencyKey(String keyHash, String requestHash, OptionalLong createdAtMillis) {}
 
     Message.CallKind kind() {
-        return query.model().isPresent() ? Message.CallKind.MODEL : Message.CallKind.SERVICE;
+        return routingQuery.model().isPresent() ? Message.CallKind.MODEL : Message.CallKind.SERVICE;
     }
 
-    /** The model or service as it is named in counters. */
+    /** Returns the name of the model or service, as used in counter names. */
     String destination() {
-        return query.model()
+        return routingQuery
+                .model()
                 .map(Object::toString)
-                .orElseGet(() -> query.service().orElseThrow().value());
+                .orElseGet(() -> routingQuery.service().orElseThrow().value());
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/ClaimService.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/ClaimService.java
@@ -23,26 +23,29 @@
 import org.tamaracktrack.daemon.runtime.LogFollower;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Claims keys in the log for this daemon's requests. Used on the control thread. */
+/**
+ * Claims idempotency keys in the log for this daemon's requests. All methods must be called on the
+ * control thread.
+ */
 final class ClaimService implements LogFollower.Listener, AutoCloseable {
     private static final Logger LOG = Logger.getLogger(ClaimService.class);
-    private static final long BUSY_TICK_MILLIS = 10;
+    private static final long PENDING_TICK_MILLIS = 10;
     private static final long IDLE_TICK_MILLIS = 250;
 
     private final LogClient log;
     private final ControlThread control;
-    private final ClaimManager keeper;
-    private final Map<Long, RequestRunner> waiting = new HashMap<>();
-    private final ExecutorService claimAppends = appender("append-claims");
-    private final ExecutorService outcomeAppends = appender("append-outcomes");
+    private final ClaimManager claimManager;
+    private final Map<Long, RequestRunner> waitingRunners = new HashMap<>();
+    private final ExecutorService claimAppendExecutor = appendExecutor("append-claims");
+    private final ExecutorService outcomeAppendExecutor = appendExecutor("append-outcomes");
     private LogFollower follower;
-    private boolean busy;
-    private long tickets;
+    private boolean tickScheduled;
+    private long nextTicket;
 
-    private ClaimService(LogClient log, ControlThread control, ClaimManager keeper) {
+    private ClaimService(LogClient log, ControlThread control, ClaimManager claimManager) {
         this.log = log;
         this.control = control;
-        this.keeper = keeper;
+        this.claimManager = claimManager;
     }
 
     static ClaimService start(
@@ -50,21 +53,23 @@
             ControlThread control,
             IncarnationId owner,
             ConfigurationSource configuration) {
-        ClaimManager keeper =
+        ClaimManager claimManager =
                 ClaimManager.of(
                         owner,
                         ClaimLimits.standard(),
                         ClaimRegister.UNKNOWN_WINDOW_MILLIS,
                         ControlThread.nowMillis());
-        ClaimService service = new ClaimService(log, control, keeper);
+        ClaimService service = new ClaimService(log, control, claimManager);
         configuration.listen(
-                current -> keeper.changeWindow(current.configuration().idempotencyWindowMillis()));
+                current ->
+                        claimManager.changeWindow(
+                                current.configuration().idempotencyWindowMillis()));
         service.follower = LogFollower.start(log, LogStream.CLAIMS, control, service);
         control.every(IDLE_TICK_MILLIS, service::tick);
         return service;
     }
 
-    private static ExecutorService appender(String name) {
+    private static ExecutorService appendExecutor(String name) {
         return Executors.newSingleThreadExecutor(
                 task -> {
                     Thread thread = new Thread(task, name);
@@ -73,12 +78,13 @@
                 });
     }
 
+    /** Claims the key of a request and notifies the runner when it was granted or declined. */
     void claim(CallerRequest request, RequestRunner runner) {
-        CallerRequest.Key key = request.key().orElseThrow();
-        long ticket = tickets++;
-        waiting.put(ticket, runner);
+        CallerRequest.IdempotencyKey key = request.idempotencyKey().orElseThrow();
+        long ticket = nextTicket++;
+        waitingRunners.put(ticket, runner);
         carryOut(
-                keeper.claim(
+                claimManager.claim(
                         new ClaimRequest(
                                 ticket,
                                 request.account().id(),
@@ -89,32 +95,34 @@
                         System.currentTimeMillis()));
     }
 
+    /** Records in the log whether the request of a claim ran. */
     void settle(long claim, Ran ran) {
-        carryOut(keeper.settle(claim, ran, ControlThread.nowMillis()));
+        carryOut(claimManager.settle(claim, ran, ControlThread.nowMillis()));
     }
 
-    boolean settled() {
-        return keeper.allSettled();
+    /** Returns whether the outcomes of all claims of this daemon have been recorded. */
+    boolean allSettled() {
+        return claimManager.allSettled();
     }
 
     private void tick() {
-        carryOut(keeper.tick(ControlThread.nowMillis()));
+        carryOut(claimManager.tick(ControlThread.nowMillis()));
     }
 
     private void carryOut(List<ClaimAction> actions) {
         actions.forEach(this::carryOut);
-        tickSoonWhileBusy();
+        scheduleTickWhileClaimsPending();
     }
 
-    // Ticking ten times as often only while something waits keeps an idle daemon within its part
-    // of a core.
-    private void tickSoonWhileBusy() {
-        if (!busy && (!waiting.isEmpty() || !keeper.allSettled())) {
-            busy = true;
+    // The short tick interval applies only while claims are waiting or unsettled. This keeps an
+    // idle daemon within its share of a processor core.
+    private void scheduleTickWhileClaimsPending() {
+        if (!tickScheduled && (!waitingRunners.isEmpty() || !claimManager.allSettled())) {
+            tickScheduled = true;
             control.after(
-                    BUSY_TICK_MILLIS,
+                    PENDING_TICK_MILLIS,
                     () -> {
-                        busy = false;
+                        tickScheduled = false;
                         tick();
                     });
         }
@@ -124,24 +132,27 @@
         if (action instanceof ClaimAction.Append append) {
             append(append);
         } else if (action instanceof ClaimAction.Granted granted) {
-            waiting.remove(granted.ticket()).granted(granted.claim());
+            waitingRunners.remove(granted.ticket()).claimGranted(granted.claim());
         } else if (action instanceof ClaimAction.Declined declined) {
-            waiting.remove(declined.ticket())
-                    .declined(declined.code(), declined.retryAfterMillis());
+            waitingRunners
+                    .remove(declined.ticket())
+                    .claimDeclined(declined.code(), declined.retryAfterMillis());
         }
     }
 
     private void append(ClaimAction.Append append) {
-        ExecutorService appends =
-                append.kind() == ClaimAction.AppendKind.CLAIMS ? claimAppends : outcomeAppends;
+        ExecutorService executor =
+                append.kind() == ClaimAction.AppendKind.CLAIMS
+                        ? claimAppendExecutor
+                        : outcomeAppendExecutor;
         try {
-            appends.execute(
+            executor.execute(
                     () -> {
-                        ClaimManager.AppendOutcome outcome = outcomeOf(append);
+                        ClaimManager.AppendOutcome outcome = appendToLog(append);
                         control.post(
                                 () ->
                                         carryOut(
-                                                keeper.appended(
+                                                claimManager.appended(
                                                         append.kind(),
                                                         outcome,
                                                         ControlThread.nowMillis())));
@@ -151,7 +162,7 @@
         }
     }
 
-    private ClaimManager.AppendOutcome outcomeOf(ClaimAction.Append append) {
+    private ClaimManager.AppendOutcome appendToLog(ClaimAction.Append append) {
         try {
             log.append(LogStream.CLAIMS, append.entry());
             return ClaimManager.AppendOutcome.WRITTEN;
@@ -164,30 +175,30 @@
 
     @Override
     public void onRecord(LogRecord record) {
-        carryOut(keeper.handle(record, ControlThread.nowMillis()));
+        carryOut(claimManager.handle(record, ControlThread.nowMillis()));
     }
 
     @Override
     public void onGap(long firstOffset) {
         LOG.warnf("event=claims-gap first_offset=%d", firstOffset);
-        keeper.recordsExpired(firstOffset);
+        claimManager.recordsExpired(firstOffset);
     }
 
     @Override
     public void onCaughtUp(long nextOffset) {
-        keeper.caughtUp();
+        claimManager.caughtUp();
     }
 
     @Override
     public void onReachable(boolean reachable) {
         LOG.infof("event=claims-log reachable=%s", reachable);
-        keeper.reachable(reachable);
+        claimManager.reachable(reachable);
     }
 
     @Override
     public void close() {
         follower.close();
-        claimAppends.shutdownNow();
-        outcomeAppends.shutdownNow();
+        claimAppendExecutor.shutdownNow();
+        outcomeAppendExecutor.shutdownNow();
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryMetrics.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryMetrics.java
@@ -13,8 +13,8 @@
 import org.tamaracktrack.daemon.counters.Counters;
 
 /**
- * The meters and counters of requests. Labels are names from the configuration and error codes, so
- * that no caller can make new ones.
+ * The meters and counters of requests. Label values are names from the configuration and error
+ * codes only, so that callers cannot create new time series.
  */
 final class EntryMetrics {
     private static final Duration[] BUCKETS =
@@ -39,21 +39,21 @@
         return new EntryMetrics(registry, counters);
     }
 
-    /** What is timed. */
+    /** The measured durations. */
     enum Span {
         WAIT("tamaracktrack.request.wait"),
         FIRST_TOKEN("tamaracktrack.request.first.token"),
         BETWEEN_TOKENS("tamaracktrack.request.between.tokens"),
         TOTAL("tamaracktrack.request.total");
 
-        private final String meter;
+        private final String meterName;
 
-        Span(String meter) {
-            this.meter = meter;
+        Span(String meterName) {
+            this.meterName = meterName;
         }
     }
 
-    void time(Span span, CallerRequest request, double millis) {
+    void recordDuration(Span span, CallerRequest request, double millis) {
         String account = request.account().id().value();
         String requestClass = request.requestClass().id().value();
         timers.computeIfAbsent(
@@ -63,7 +63,7 @@
     }
 
     private Timer timer(Span span, String account, String requestClass) {
-        return Timer.builder(span.meter)
+        return Timer.builder(span.meterName)
                 .tag("account", account)
                 .tag("class", requestClass)
                 .serviceLevelObjectives(BUCKETS)
@@ -80,8 +80,8 @@
                 1);
     }
 
-    void tokens(CallerRequest request, int promptTokens, int answerTokens) {
-        request.query()
+    void countTokens(CallerRequest request, int promptTokens, int answerTokens) {
+        request.routingQuery()
                 .model()
                 .ifPresent(
                         model -> {
@@ -94,21 +94,21 @@
         counters.add(
                 new CounterName.Tokens(
                         request.account().id(),
-                        request.query().model().orElseThrow(),
+                        request.routingQuery().model().orElseThrow(),
                         request.requestClass().id(),
                         kind),
                 tokens);
     }
 
-    void error(ErrorCode code) {
+    void countError(ErrorCode code) {
         registry.counter("tamaracktrack.entry.errors", "code", code.name()).increment();
     }
 
-    void event(Event event) {
-        registry.counter("tamaracktrack.entry.events", "event", event.text).increment();
+    void countEvent(Event event) {
+        registry.counter("tamaracktrack.entry.events", "event", event.label).increment();
     }
 
-    /** What is counted besides errors. */
+    /** The counted events other than errors. */
     enum Event {
         ATTEMPT("attempt"),
         RETRY("retry"),
@@ -118,10 +118,10 @@
         CALLER_CUT("caller_cut"),
         CALLER_GONE("caller_gone");
 
-        private final String text;
+        private final String label;
 
-        Event(String text) {
-            this.text = text;
+        Event(String label) {
+            this.label = label;
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryPeers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryPeers.java
@@ -12,8 +12,8 @@
 import org.tamaracktrack.link.frame.ConnectionHandler;
 
 /**
- * Answers daemons that start while the log is out and ask for what this one has read: the
- * configuration in force, and where the targets are.
+ * Answers the queries of daemons that start while the log is unavailable: sends them the
+ * configuration in force and the owners and addresses of the targets that this daemon knows.
  */
 final class EntryPeers implements ConnectionHandler {
     private final ConfigurationSource configuration;
@@ -53,7 +53,7 @@
     @Override
     public void onMessage(Connection connection, Message message) {
         if (message instanceof Message.OwnershipQuery) {
-            control.post(() -> connection.send(new Message.OwnershipOffer(targets.owned())));
+            control.post(() -> connection.send(new Message.OwnershipOffer(targets.ownedTargets())));
         } else {
             answers.handle(connection, message);
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
@@ -29,15 +29,15 @@
 import org.tamaracktrack.daemon.runtime.LogFollower;
 import org.tamaracktrack.link.hosts.HostListClient;
 
-/** The entry role, running. */
+/** A running entry role: accepts callers' requests and routes them to targets. */
 public final class EntryRole implements DaemonRole {
     private static final Logger LOG = Logger.getLogger(EntryRole.class);
     private static final long TICK_MILLIS = 250;
-    private static final long HOST_LIST_MILLIS = 1_000;
-    private static final long BODY_MILLIS = 15_000;
+    private static final long HOST_LIST_INTERVAL_MILLIS = 1_000;
+    private static final long BODY_TIMEOUT_MILLIS = 15_000;
     private static final long POLL_MILLIS = 20;
-    private static final long LAST_RECORDS_MILLIS = 2_000;
-    private static final String SOURCE = "entry";
+    private static final long FINAL_RECORDS_MILLIS = 2_000;
+    private static final String COUNTER_SOURCE = "entry";
 
     private final DaemonRuntime runtime;
     private final TargetDirectory targets;
@@ -45,15 +45,15 @@
     private final EntryServices services;
     private final CallerHandler handler;
     private final Duties duties;
-    private final CounterPublisher counters;
+    private final CounterPublisher counterPublisher;
     private final InetSocketAddress peerAddress;
     private final AtomicBoolean draining = new AtomicBoolean();
     private final CountDownLatch stopped = new CountDownLatch(1);
 
     private EntryRole(DaemonRuntime runtime, RoutingKind routing, PlacementKind placement) {
         this.runtime = runtime;
-        Counters counted = Counters.empty();
-        EntryMetrics metrics = EntryMetrics.of(runtime.metrics(), counted);
+        Counters counters = Counters.empty();
+        EntryMetrics metrics = EntryMetrics.of(runtime.metrics(), counters);
         TargetPeers peers =
                 TargetPeers.of(
                         runtime.transport(),
@@ -67,7 +67,7 @@
                         RoutingTable.empty(runtime.settings().dataCentre()),
                         routing.policy(),
                         runtime.incarnation().hashCode());
-        peers.directory(targets);
+        peers.setDirectory(targets);
         this.claims =
                 ClaimService.start(
                         runtime.log(),
@@ -85,7 +85,7 @@
                         new CallerHandler.CallerLimits(
                                 runtime.settings().maximumBodyBytes(),
                                 runtime.settings().maximumConnections(),
-                                BODY_MILLIS));
+                                BODY_TIMEOUT_MILLIS));
         this.peerAddress =
                 runtime.transport()
                         .listen(
@@ -96,32 +96,32 @@
                                         runtime.control(),
                                         targets));
         this.duties = Duties.start(runtime, targets, placement);
-        this.counters =
+        this.counterPublisher =
                 CounterPublisher.start(
                         runtime.log(),
                         runtime.incarnation(),
-                        SOURCE,
+                        COUNTER_SOURCE,
                         runtime.settings().reportMillis(),
-                        counted);
+                        counters);
     }
 
     /**
      * Starts the role.
      *
-     * @param runtime the parts it is built from
-     * @param routing how targets are chosen
-     * @param placement how models are placed while this daemon holds that duty
+     * @param runtime the settings and services of the daemon process
+     * @param routing the policy that selects targets for requests
+     * @param placement the policy that places models while this daemon holds the placement duty
      * @return the running role
      */
     public static EntryRole start(
             DaemonRuntime runtime, RoutingKind routing, PlacementKind placement) {
         Objects.requireNonNull(runtime, "runtime is null");
         EntryRole role = new EntryRole(runtime, routing, placement);
-        role.follow();
+        role.startFollowing();
         return role;
     }
 
-    private void follow() {
+    private void startFollowing() {
         ControlThread control = runtime.control();
         runtime.configuration()
                 .listen(current -> targets.table().applyConfiguration(current.configuration()));
@@ -129,7 +129,7 @@
                 runtime.log(),
                 LogStream.OWNERSHIP,
                 control,
-                OwnershipAsker.start(
+                OwnershipFollower.start(
                         runtime.transport(), control, runtime.settings().peers(), targets));
         LogFollower.start(
                 runtime.log(),
@@ -137,23 +137,23 @@
                 control,
                 RecordListener.of(LogStream.PLAN, targets::onPlan));
         control.every(TICK_MILLIS, targets::tick);
-        runtime.hosts().ifPresent(this::followHosts);
+        runtime.hosts().ifPresent(this::startHostListReader);
     }
 
-    private void followHosts(HostListClient hosts) {
-        Thread thread = new Thread(() -> readHosts(hosts), "host-list");
+    private void startHostListReader(HostListClient hosts) {
+        Thread thread = new Thread(() -> readHostsUntilStopped(hosts), "host-list");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void readHosts(HostListClient hosts) {
+    private void readHostsUntilStopped(HostListClient hosts) {
         boolean reachable = true;
         try {
-            while (!stopped.await(HOST_LIST_MILLIS, TimeUnit.MILLISECONDS)) {
-                boolean read = readHostsOnce(hosts);
-                if (read != reachable) {
-                    LOG.infof("event=host-list reachable=%s", read);
-                    reachable = read;
+            while (!stopped.await(HOST_LIST_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
+                boolean readSucceeded = readHostsOnce(hosts);
+                if (readSucceeded != reachable) {
+                    LOG.infof("event=host-list reachable=%s", readSucceeded);
+                    reachable = readSucceeded;
                 }
             }
         } catch (InterruptedException interrupted) {
@@ -168,7 +168,7 @@
                             .filter(host -> host.getValue() == HostListClient.HostState.LEAVING)
                             .map(Map.Entry::getKey)
                             .collect(Collectors.toSet());
-            runtime.control().post(() -> targets.onHosts(leaving));
+            runtime.control().post(() -> targets.onHostListRead(leaving));
             return true;
         } catch (TamaracktrackException unreachable) {
             return false;
@@ -176,35 +176,35 @@
     }
 
     /**
-     * Returns what serves callers.
+     * Returns the HTTP handler for callers' requests.
      *
      * @return the handler
      */
-    public HttpHandler callers() {
+    public HttpHandler callerHandler() {
         return handler;
     }
 
     /**
-     * Returns whether this daemon may act on a duty now. For any thread.
+     * Returns whether this daemon may act on a duty now. Thread-safe.
      *
      * @param duty the duty
-     * @return true while its lease can be trusted
+     * @return true while this daemon holds a valid lease for the duty
      */
     public boolean holds(Duty duty) {
         return duties.holds(duty);
     }
 
-    /** What is known of the targets; for the control thread. */
+    /** Returns the view of the targets. It must be used on the control thread only. */
     TargetView targets() {
         return targets;
     }
 
-    /** What the daemon does for its requests. */
+    /** Returns the services that the daemon provides to running requests. */
     RequestServices services() {
         return services;
     }
 
-    /** Whether a target may get new work; for the control thread. */
+    /** Returns whether a target accepts new requests. Must be called on the control thread. */
     boolean accepts(String target) {
         return targets.accepts(TargetId.of(target));
     }
@@ -219,55 +219,57 @@
         return !draining.get() && runtime.configuration().current().isPresent();
     }
 
-    // The balancer learns late that this daemon leaves. Refusing at once would fail the requests
-    // that it still sends, so readiness fails first and the rest goes on for as long as it lags.
+    // The load balancer notices only after a lag that this daemon is leaving. Requests that it
+    // still sends must not fail, so readiness fails first and requests are served until the lag
+    // has passed.
     @Override
     public boolean drain() {
         draining.set(true);
         handler.drain();
-        long deadline = ControlThread.nowMillis() + runtime.settings().drainMillis();
+        long deadlineMillis = ControlThread.nowMillis() + runtime.settings().drainMillis();
         LOG.infof("event=drain-begun in_progress=%d", services.inProgress().size());
-        long lagEnd =
+        long refusalAtMillis =
                 Math.min(
-                        deadline,
+                        deadlineMillis,
                         ControlThread.nowMillis() + runtime.settings().balancerLagMillis());
-        waitUntil(() -> false, lagEnd);
-        handler.refuse();
-        long reserve = Math.min(LAST_RECORDS_MILLIS, runtime.settings().drainMillis() / 4);
-        waitUntil(() -> services.inProgress().isEmpty(), deadline - reserve);
-        int cut = cutRemaining();
-        waitUntil(this::claimsSettled, deadline - reserve / 2);
+        waitUntil(() -> false, refusalAtMillis);
+        handler.refuseRequests();
+        long reserveMillis = Math.min(FINAL_RECORDS_MILLIS, runtime.settings().drainMillis() / 4);
+        waitUntil(() -> services.inProgress().isEmpty(), deadlineMillis - reserveMillis);
+        int abandoned = abandonRemaining();
+        waitUntil(this::allClaimsSettled, deadlineMillis - reserveMillis / 2);
         duties.drain();
-        boolean published = counters.drain(Math.max(1, deadline - ControlThread.nowMillis()));
+        boolean published =
+                counterPublisher.drain(Math.max(1, deadlineMillis - ControlThread.nowMillis()));
         stopped.countDown();
         claims.close();
-        LOG.infof("event=drain-ended cut=%d last_counters=%s", cut, published);
-        return cut == 0;
+        LOG.infof("event=drain-ended cut=%d last_counters=%s", abandoned, published);
+        return abandoned == 0;
     }
 
-    private int cutRemaining() {
-        int cut = services.inProgress().size();
-        services.inProgress().forEach(RequestRunner::giveUp);
-        if (cut > 0) {
-            LOG.warnf("event=drain-deadline cut=%d", cut);
+    private int abandonRemaining() {
+        int abandoned = services.inProgress().size();
+        services.inProgress().forEach(RequestRunner::abandon);
+        if (abandoned > 0) {
+            LOG.warnf("event=drain-deadline cut=%d", abandoned);
             waitUntil(
                     () -> services.inProgress().isEmpty(),
                     ControlThread.nowMillis() + POLL_MILLIS * 10);
         }
-        return cut;
+        return abandoned;
     }
 
-    private boolean claimsSettled() {
-        CountDownLatch asked = new CountDownLatch(1);
+    private boolean allClaimsSettled() {
+        CountDownLatch checked = new CountDownLatch(1);
         AtomicBoolean settled = new AtomicBoolean();
         runtime.control()
                 .post(
                         () -> {
-                            settled.set(claims.settled());
-                            asked.countDown();
+                            settled.set(claims.allSettled());
+                            checked.countDown();
                         });
         try {
-            return asked.await(POLL_MILLIS, TimeUnit.MILLISECONDS) && settled.get();
+            return checked.await(POLL_MILLIS, TimeUnit.MILLISECONDS) && settled.get();
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryServices.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryServices.java
@@ -12,16 +12,16 @@
 import org.tamaracktrack.core.routing.RoutingQuery;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
-/** What the daemon does for its requests: passes it on to the control thread. */
+/** The services for running requests, which post their work to the control thread. */
 final class EntryServices implements RequestServices {
     private final IncarnationId incarnation;
     private final ControlThread control;
     private final TargetDirectory targets;
     private final ClaimService claims;
     private final EntryMetrics metrics;
-    private final RetryBudget budget = RetryBudget.of(ControlThread.nowMillis());
-    private final RetryPolicy rule = RetryPolicy.of(budget);
-    private final AtomicLong requests = new AtomicLong();
+    private final RetryBudget retryBudget = RetryBudget.of(ControlThread.nowMillis());
+    private final RetryPolicy retryPolicy = RetryPolicy.of(retryBudget);
+    private final AtomicLong requestCount = new AtomicLong();
     private final Set<RequestRunner> inProgress = ConcurrentHashMap.newKeySet();
 
     private EntryServices(
@@ -47,14 +47,14 @@
     }
 
     @Override
-    public AttemptId newRequest() {
-        budget.earn();
-        return AttemptId.of(incarnation, requests.getAndIncrement(), 0);
+    public AttemptId newFirstAttempt() {
+        retryBudget.earn();
+        return AttemptId.of(incarnation, requestCount.getAndIncrement(), 0);
     }
 
     @Override
-    public RetryPolicy retryRule() {
-        return rule;
+    public RetryPolicy retryPolicy() {
+        return retryPolicy;
     }
 
     @Override
@@ -74,22 +74,22 @@
     }
 
     @Override
-    public void ended(TargetId target) {
-        control.post(() -> targets.ended(target));
+    public void recordEnded(TargetId target) {
+        control.post(() -> targets.recordEnded(target));
     }
 
     @Override
-    public void served(TargetId target, long runMillis) {
-        control.post(() -> targets.served(target, runMillis));
+    public void recordServed(TargetId target, long runMillis) {
+        control.post(() -> targets.recordServed(target, runMillis));
     }
 
     @Override
-    public void claim(CallerRequest request, RequestRunner runner) {
+    public void claimKey(CallerRequest request, RequestRunner runner) {
         control.post(() -> claims.claim(request, runner));
     }
 
     @Override
-    public void settle(long claim, Ran ran) {
+    public void settleClaim(long claim, Ran ran) {
         control.post(() -> claims.settle(claim, ran));
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/Hashes.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/Hashes.java
@@ -8,7 +8,7 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** SHA-256 in lower-case hex. */
+/** Computes SHA-256 hashes in lower-case hexadecimal. */
 final class Hashes {
     private Hashes() {}
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/ModelList.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/ModelList.java
@@ -8,7 +8,7 @@
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.link.codec.Codecs;
 
-/** The models that an account may name, in the shape of the OpenAI list. */
+/** Lists the models and adapters of a client account in the format of the OpenAI model list. */
 final class ModelList {
     private ModelList() {}
 
@@ -20,25 +20,25 @@
     private record Shape(
             @JsonProperty("object") String object, @JsonProperty("data") List<Listed> data) {}
 
-    static byte[] json(Configuration configuration, Configuration.ClientAccount account) {
+    static byte[] toJson(Configuration configuration, Configuration.ClientAccount account) {
         List<Listed> data =
                 account.models().stream()
                         .filter(configuration.models()::containsKey)
                         .sorted()
-                        .flatMap(model -> names(configuration, account, model))
+                        .flatMap(model -> modelNames(configuration, account, model))
                         .map(name -> new Listed(name, "model", account.id().value()))
                         .collect(Collectors.toList());
         return Codecs.encode(Codecs.json(), new Shape("list", data));
     }
 
-    private static Stream<String> names(
+    private static Stream<String> modelNames(
             Configuration configuration, Configuration.ClientAccount account, ModelId model) {
-        Stream<String> adapted =
+        Stream<String> adapterNames =
                 account.adapters().stream()
                         .map(configuration.adapters()::get)
                         .filter(adapter -> adapter != null && adapter.base().equals(model))
                         .map(adapter -> model + "+" + adapter.id())
                         .sorted();
-        return Stream.concat(Stream.of(model.value()), adapted);
+        return Stream.concat(Stream.of(model.value()), adapterNames);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/OwnershipAsker.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/OwnershipFollower.java
@@ -17,21 +17,21 @@
 import org.tamaracktrack.link.frame.FrameTransport;
 
 /**
- * Follows the ownership of targets: in the log, and while that is out by asking other entry
- * daemons. Used on the control thread.
+ * Follows the ownership of targets in the log and, while the log is not read up to its end, queries
+ * other entry daemons. All methods must be called on the control thread.
  */
-final class OwnershipAsker implements LogFollower.Listener {
-    private static final Logger LOG = Logger.getLogger(OwnershipAsker.class);
-    private static final long ASK_MILLIS = 1_000;
+final class OwnershipFollower implements LogFollower.Listener {
+    private static final Logger LOG = Logger.getLogger(OwnershipFollower.class);
+    private static final long QUERY_INTERVAL_MILLIS = 1_000;
 
     private final FrameTransport transport;
     private final ControlThread control;
     private final List<InetSocketAddress> peers;
     private final TargetDirectory targets;
     private final Map<InetSocketAddress, Optional<Connection>> connections = new HashMap<>();
-    private boolean following;
+    private boolean caughtUp;
 
-    private OwnershipAsker(
+    private OwnershipFollower(
             FrameTransport transport,
             ControlThread control,
             List<InetSocketAddress> peers,
@@ -42,34 +42,37 @@
         this.targets = targets;
     }
 
-    static OwnershipAsker start(
+    static OwnershipFollower start(
             FrameTransport transport,
             ControlThread control,
             List<InetSocketAddress> peers,
             TargetDirectory targets) {
-        OwnershipAsker asker = new OwnershipAsker(transport, control, peers, targets);
+        OwnershipFollower follower = new OwnershipFollower(transport, control, peers, targets);
         if (!peers.isEmpty()) {
-            control.every(ASK_MILLIS, asker::tick);
+            control.every(QUERY_INTERVAL_MILLIS, follower::tick);
         }
-        return asker;
+        return follower;
     }
 
     private void tick() {
-        if (following) {
-            connections.values().forEach(open -> open.ifPresent(Connection::close));
+        if (caughtUp) {
+            connections
+                    .values()
+                    .forEach(openConnection -> openConnection.ifPresent(Connection::close));
             connections.clear();
         } else {
-            peers.forEach(this::ask);
+            peers.forEach(this::queryPeer);
         }
     }
 
-    private void ask(InetSocketAddress peer) {
+    private void queryPeer(InetSocketAddress peer) {
         Optional<Connection> connection = connections.get(peer);
         if (connection == null) {
             connections.put(peer, Optional.empty());
             transport.connect(peer, new Handler(peer));
         } else {
-            connection.ifPresent(open -> open.send(new Message.OwnershipQuery()));
+            connection.ifPresent(
+                    openConnection -> openConnection.send(new Message.OwnershipQuery()));
         }
     }
 
@@ -86,12 +89,12 @@
 
     @Override
     public void onCaughtUp(long nextOffset) {
-        following = true;
+        caughtUp = true;
     }
 
     @Override
     public void onReachable(boolean reachable) {
-        following = false;
+        caughtUp = false;
     }
 
     private final class Handler implements ConnectionHandler {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/RecordListener.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/RecordListener.java
@@ -6,25 +6,28 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.daemon.runtime.LogFollower;
 
-/** Follows a stream of which each record says all that it has to say. */
+/**
+ * Forwards the records of a log stream to a consumer. Each record of the stream must be complete in
+ * itself, so that a gap needs no handling other than a log line.
+ */
 final class RecordListener implements LogFollower.Listener {
     private static final Logger LOG = Logger.getLogger(RecordListener.class);
 
     private final LogStream stream;
-    private final Consumer<LogRecord> records;
+    private final Consumer<LogRecord> recordConsumer;
 
-    private RecordListener(LogStream stream, Consumer<LogRecord> records) {
+    private RecordListener(LogStream stream, Consumer<LogRecord> recordConsumer) {
         this.stream = stream;
-        this.records = records;
+        this.recordConsumer = recordConsumer;
     }
 
-    static RecordListener of(LogStream stream, Consumer<LogRecord> records) {
-        return new RecordListener(stream, records);
+    static RecordListener of(LogStream stream, Consumer<LogRecord> recordConsumer) {
+        return new RecordListener(stream, recordConsumer);
     }
 
     @Override
     public void onRecord(LogRecord record) {
-        records.accept(record);
+        recordConsumer.accept(record);
     }
 
     @Override
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestReader.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestReader.java
@@ -19,20 +19,20 @@
 import org.tamaracktrack.core.routing.RoutingQuery;
 import org.tamaracktrack.link.codec.Codecs;
 
-/** Checks a caller's HTTP request against its account and makes it a request for a target. */
+/** Validates a caller's HTTP request against its account and builds the request for a target. */
 final class RequestReader {
     static final String SERVICES_PATH = "/v1/services/";
     private static final String CLASS_HEADER = "x-request-class";
     private static final String IDEMPOTENT_HEADER = "x-idempotent";
     private static final String KEY_HEADER = "idempotency-key";
     private static final String KEY_CREATED_HEADER = "idempotency-key-created";
-    private static final int LONGEST_KEY = 255;
+    private static final int MAX_KEY_CHARACTERS = 255;
     private static final int PREFIX_CHARACTERS = 512;
     private static final int CHARACTERS_PER_TOKEN = 4;
     private static final int DEFAULT_ANSWER_TOKENS = 128;
-    private static final int MOST_ANSWER_TOKENS = 1_000_000;
+    private static final int MAX_ANSWER_TOKENS = 1_000_000;
     private static final int SERVICE_CALL_TOKENS = 100;
-    private static final Set<String> KEPT_BACK =
+    private static final Set<String> UNFORWARDED_HEADERS =
             Set.of(
                     "authorization",
                     "connection",
@@ -53,82 +53,93 @@
 
     private final Configuration configuration;
     private final Configuration.ClientAccount account;
-    private final CallerHttp http;
+    private final CallerHttpRequest http;
 
     private RequestReader(
-            Configuration configuration, Configuration.ClientAccount account, CallerHttp http) {
+            Configuration configuration,
+            Configuration.ClientAccount account,
+            CallerHttpRequest http) {
         this.configuration = configuration;
         this.account = account;
         this.http = http;
     }
 
-    /** Throws a {@link TamaracktrackException} with the code that the caller is to see. */
+    /**
+     * Returns the validated request.
+     *
+     * @throws TamaracktrackException if the request is invalid, with the error code for the caller
+     */
     static CallerRequest read(
-            Configuration configuration, Configuration.ClientAccount account, CallerHttp http) {
+            Configuration configuration,
+            Configuration.ClientAccount account,
+            CallerHttpRequest http) {
         RequestReader reader = new RequestReader(configuration, account, http);
-        return http.path().startsWith(SERVICES_PATH) ? reader.service() : reader.model();
+        return http.path().startsWith(SERVICES_PATH)
+                ? reader.readServiceRequest()
+                : reader.readModelRequest();
     }
 
-    private CallerRequest model() {
+    private CallerRequest readModelRequest() {
         JsonNode body = Codecs.decode(Codecs.json(), http.body(), JsonNode.class);
         if (!body.isObject()) {
             throw badRequest("the body is not a JSON object");
         }
-        String[] names = text(body, "model").split("\\+", 2);
+        String[] names = requiredText(body, "model").split("\\+", 2);
         ModelId model = modelOf(names[0]);
         Optional<AdapterId> adapter =
                 names.length < 2 ? Optional.empty() : Optional.of(adapterOf(names[1], model));
         Configuration.RequestClass requestClass = requestClass();
         String prompt = promptOf(body);
         boolean idempotent =
-                idempotentHeader().orElse(keyText().isEmpty() && account.idempotentByDefault());
+                idempotentHeader().orElse(keyHeader().isEmpty() && account.idempotentByDefault());
         return new CallerRequest(
                 account,
                 requestClass,
-                RoutingQuery.model(requestClass.id(), model, adapter, prefix(prompt)),
+                RoutingQuery.model(requestClass.id(), model, adapter, prefixHash(prompt)),
                 idempotent,
-                idempotent ? Optional.empty() : key(),
-                stream(body),
+                idempotent ? Optional.empty() : idempotencyKey(),
+                isStreaming(body),
                 http.method(),
                 http.path() + http.query(),
                 Map.of("content-type", "application/json"),
                 http.body(),
-                prompt.length() / CHARACTERS_PER_TOKEN + answerTokens(body));
+                prompt.length() / CHARACTERS_PER_TOKEN + maximumAnswerTokens(body));
     }
 
-    private CallerRequest service() {
-        String rest = http.path().substring(SERVICES_PATH.length());
-        int slash = rest.indexOf('/');
-        String name = slash < 0 ? rest : rest.substring(0, slash);
+    private CallerRequest readServiceRequest() {
+        String serviceAndPath = http.path().substring(SERVICES_PATH.length());
+        int slashIndex = serviceAndPath.indexOf('/');
+        String name = slashIndex < 0 ? serviceAndPath : serviceAndPath.substring(0, slashIndex);
         Configuration.Service service = serviceOf(name);
         Configuration.RequestClass requestClass = requestClass();
-        // The operator says which methods of a service may be repeated; a caller may narrow that
-        // and not widen it, since a repeated charge is not undone by a header.
+        // The configuration lists the methods of a service that may be repeated. A caller may
+        // exclude its request from that but not add to it: a header must not allow, for example,
+        // a charge to be made twice.
         boolean idempotent =
                 service.repeatableMethods().contains(http.method())
-                        && idempotentHeader().orElse(keyText().isEmpty());
+                        && idempotentHeader().orElse(keyHeader().isEmpty());
         return new CallerRequest(
                 account,
                 requestClass,
                 RoutingQuery.service(requestClass.id(), service.id()),
                 idempotent,
-                idempotent ? Optional.empty() : key(),
+                idempotent ? Optional.empty() : idempotencyKey(),
                 http.header("accept").filter(type -> type.contains("event-stream")).isPresent(),
                 http.method(),
-                (slash < 0 ? "/" : rest.substring(slash)) + http.query(),
-                passedOn(),
+                (slashIndex < 0 ? "/" : serviceAndPath.substring(slashIndex)) + http.query(),
+                forwardedHeaders(),
                 http.body(),
                 SERVICE_CALL_TOKENS);
     }
 
-    private Map<String, String> passedOn() {
+    private Map<String, String> forwardedHeaders() {
         return http.headers().entrySet().stream()
-                .filter(header -> !KEPT_BACK.contains(header.getKey()))
+                .filter(header -> !UNFORWARDED_HEADERS.contains(header.getKey()))
                 .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
     }
 
     private ModelId modelOf(String name) {
-        return identified(() -> ModelId.of(name))
+        return parseIdentifier(() -> ModelId.of(name))
                 .filter(account.models()::contains)
                 .filter(configuration.models()::containsKey)
                 .orElseThrow(
@@ -138,7 +149,7 @@
     }
 
     private AdapterId adapterOf(String name, ModelId base) {
-        return identified(() -> AdapterId.of(name))
+        return parseIdentifier(() -> AdapterId.of(name))
                 .filter(account.adapters()::contains)
                 .filter(
                         adapter ->
@@ -153,7 +164,7 @@
     }
 
     private Configuration.Service serviceOf(String name) {
-        return identified(() -> ServiceId.of(name))
+        return parseIdentifier(() -> ServiceId.of(name))
                 .filter(account.services()::contains)
                 .map(configuration.services()::get)
                 .orElseThrow(
@@ -163,9 +174,9 @@
                                         "this account has no such service"));
     }
 
-    private static <T> Optional<T> identified(java.util.function.Supplier<T> reader) {
+    private static <T> Optional<T> parseIdentifier(java.util.function.Supplier<T> parser) {
         try {
-            return Optional.of(reader.get());
+            return Optional.of(parser.get());
         } catch (TamaracktrackException badIdentifier) {
             return Optional.empty();
         }
@@ -174,9 +185,9 @@
     private Configuration.RequestClass requestClass() {
         RequestClassId id =
                 http.header(CLASS_HEADER)
-                        .map(name -> identified(() -> RequestClassId.of(name)))
+                        .map(name -> parseIdentifier(() -> RequestClassId.of(name)))
                         .orElse(Optional.of(account.defaultClass()))
-                        .filter(name -> allowed(name))
+                        .filter(classId -> isAllowed(classId))
                         .orElseThrow(
                                 () ->
                                         TamaracktrackException.of(
@@ -185,7 +196,7 @@
         return configuration.classes().get(id);
     }
 
-    private boolean allowed(RequestClassId id) {
+    private boolean isAllowed(RequestClassId id) {
         return configuration.classes().containsKey(id)
                 && (account.classes().contains(id) || account.defaultClass().equals(id));
     }
@@ -201,35 +212,35 @@
                         });
     }
 
-    private Optional<String> keyText() {
+    private Optional<String> keyHeader() {
         Optional<String> key = http.header(KEY_HEADER);
-        if (key.filter(text -> text.isEmpty() || text.length() > LONGEST_KEY).isPresent()) {
-            throw badRequest("Idempotency-Key has 1 to " + LONGEST_KEY + " characters");
+        if (key.filter(text -> text.isEmpty() || text.length() > MAX_KEY_CHARACTERS).isPresent()) {
+            throw badRequest("Idempotency-Key has 1 to " + MAX_KEY_CHARACTERS + " characters");
         }
         return key;
     }
 
-    private Optional<CallerRequest.Key> key() {
-        return keyText().map(this::keyOf);
+    private Optional<CallerRequest.IdempotencyKey> idempotencyKey() {
+        return keyHeader().map(this::keyOf);
     }
 
-    private CallerRequest.Key keyOf(String text) {
+    private CallerRequest.IdempotencyKey keyOf(String text) {
         OptionalLong created = KeyAge.createdAtMillis(text, http.header(KEY_CREATED_HEADER));
-        byte[] head =
+        byte[] requestLine =
                 (http.method() + " " + http.path() + http.query() + "\n")
                         .getBytes(StandardCharsets.UTF_8);
-        return new CallerRequest.Key(
-                Hashes.sha256(text), Hashes.sha256(head, http.body()), created);
+        return new CallerRequest.IdempotencyKey(
+                Hashes.sha256(text), Hashes.sha256(requestLine, http.body()), created);
     }
 
-    private static String text(JsonNode body, String field) {
+    private static String requiredText(JsonNode body, String field) {
         return Optional.ofNullable(body.get(field))
                 .filter(JsonNode::isTextual)
                 .map(JsonNode::asText)
                 .orElseThrow(() -> badRequest(field + " is missing or not a string"));
     }
 
-    private static boolean stream(JsonNode body) {
+    private static boolean isStreaming(JsonNode body) {
         JsonNode stream = body.path("stream");
         if (!stream.isMissingNode() && !stream.isNull() && !stream.isBoolean()) {
             throw badRequest("stream is neither true nor false");
@@ -237,15 +248,17 @@
         return stream.asBoolean(false);
     }
 
-    private static int answerTokens(JsonNode body) {
-        JsonNode most = body.path("max_tokens");
-        if (most.isMissingNode() || most.isNull()) {
+    private static int maximumAnswerTokens(JsonNode body) {
+        JsonNode maximum = body.path("max_tokens");
+        if (maximum.isMissingNode() || maximum.isNull()) {
             return DEFAULT_ANSWER_TOKENS;
         }
-        if (!most.canConvertToInt() || most.asInt() < 1 || most.asInt() > MOST_ANSWER_TOKENS) {
-            throw badRequest("max_tokens is not a number from 1 to " + MOST_ANSWER_TOKENS);
+        if (!maximum.canConvertToInt()
+                || maximum.asInt() < 1
+                || maximum.asInt() > MAX_ANSWER_TOKENS) {
+            throw badRequest("max_tokens is not a number from 1 to " + MAX_ANSWER_TOKENS);
         }
-        return most.asInt();
+        return maximum.asInt();
     }
 
     private static String promptOf(JsonNode body) {
@@ -258,7 +271,7 @@
                 .collect(Collectors.joining("\n"));
     }
 
-    private static OptionalLong prefix(String prompt) {
+    private static OptionalLong prefixHash(String prompt) {
         return prompt.isEmpty()
                 ? OptionalLong.empty()
                 : OptionalLong.of(
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestRunner.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestRunner.java
@@ -20,15 +20,15 @@
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
 /**
- * Runs one request: takes events to its state and carries out what that says. Everything happens on
- * the thread of the caller's connection.
+ * Runs one request: applies events to its {@link RequestExchange} and carries out the resulting
+ * actions. All state is accessed on the thread of the caller's connection only.
  */
 final class RequestRunner implements CallerChannel.Listener {
     private static final Logger LOG = Logger.getLogger(RequestRunner.class);
     static final int CREDIT_BYTES = 256 * 1024;
     private static final int BUFFER_BYTES = 1024 * 1024;
     private static final long DEADLINE_GRACE_MILLIS = 250;
-    private static final long VERDICT_MILLIS = 5_000;
+    private static final long OUTCOME_TIMEOUT_MILLIS = 5_000;
 
     private final RequestServices services;
     private final CallerRequest request;
@@ -38,12 +38,12 @@
     private final long deadlineAtMillis;
     private Optional<TargetLink> link = Optional.empty();
     private OptionalLong claim = OptionalLong.empty();
-    private final RequestRecord record = RequestRecord.empty();
-    private boolean gone;
+    private final RequestOutcomeTracker outcomeTracker = RequestOutcomeTracker.empty();
+    private boolean callerDisconnected;
     private boolean answerSent;
-    private boolean answered;
-    private int batches;
-    private boolean over;
+    private boolean channelCompleted;
+    private int batchDepth;
+    private boolean reported;
 
     private RequestRunner(
             RequestServices services,
@@ -55,28 +55,28 @@
         this.request = request;
         this.channel = channel;
         this.deadlineAtMillis = nowMillis + request.requestClass().totalMillis();
-        this.times = RequestTimes.arrived(nowMillis);
+        this.times = RequestTimes.arrivedAt(nowMillis);
         this.exchange =
                 RequestExchange.of(
                         new ExchangeParameters(
                                 firstAttempt,
                                 request.idempotent(),
-                                request.stream(),
+                                request.streaming(),
                                 deadlineAtMillis,
                                 CREDIT_BYTES,
                                 BUFFER_BYTES,
                                 firstAttempt.request()),
-                        services.retryRule());
+                        services.retryPolicy());
     }
 
-    /** Starts a request; on the thread of the caller's connection. */
+    /** Starts a request. Must be called on the thread of the caller's connection. */
     static void start(RequestServices services, CallerRequest request, CallerChannel channel) {
         RequestRunner runner =
                 new RequestRunner(
                         services,
                         request,
                         channel,
-                        services.newRequest(),
+                        services.newFirstAttempt(),
                         ControlThread.nowMillis());
         runner.begin();
     }
@@ -85,107 +85,108 @@
         services.inProgress().add(this);
         services.metrics().count(request, RequestOutcome.OFFERED);
         channel.listen(this);
-        // The target counts the same time from its own receipt; by this grace its definite word
-        // arrives before this daemon gives the request up as unknown.
-        channel.after(
+        // The target applies the same time limit, counted from when it received the request. The
+        // grace period lets its definite outcome arrive before this daemon answers with an unknown
+        // one.
+        channel.executeAfter(
                 request.requestClass().totalMillis() + DEADLINE_GRACE_MILLIS,
                 () -> handle(new ExchangeEvent.DeadlinePassed()));
-        if (request.key().isPresent()) {
-            services.claim(request, this);
+        if (request.idempotencyKey().isPresent()) {
+            services.claimKey(request, this);
         } else {
             handle(new ExchangeEvent.Ready());
         }
     }
 
-    /** The key was claimed. For any thread. */
-    void granted(long number) {
+    /** Called when the idempotency key was claimed. Thread-safe. */
+    void claimGranted(long claimNumber) {
         channel.execute(
                 () -> {
-                    claim = OptionalLong.of(number);
+                    claim = OptionalLong.of(claimNumber);
                     handle(new ExchangeEvent.Ready());
                 });
     }
 
-    /** The key was refused. For any thread. */
-    void declined(ErrorCode code, long retryAfterMillis) {
-        post(new ExchangeEvent.Declined(code, retryAfterMillis));
+    /** Called when the claim of the idempotency key was refused. Thread-safe. */
+    void claimDeclined(ErrorCode code, long retryAfterMillis) {
+        postEvent(new ExchangeEvent.Declined(code, retryAfterMillis));
     }
 
-    /** A target was chosen. For any thread. */
-    void chosen(AttemptId attempt, TargetLink chosen) {
+    /** Called when a target was selected for an attempt. Thread-safe. */
+    void targetChosen(AttemptId attempt, TargetLink chosenLink) {
         channel.execute(
                 () -> {
-                    link = Optional.of(chosen);
+                    link = Optional.of(chosenLink);
                     List<ExchangeAction> actions =
                             exchange.handle(
-                                    new ExchangeEvent.TargetChosen(attempt, chosen.target()),
+                                    new ExchangeEvent.TargetChosen(attempt, chosenLink.target()),
                                     ControlThread.nowMillis());
                     if (actions.stream().noneMatch(ExchangeAction.SendAttempt.class::isInstance)) {
-                        services.ended(chosen.target());
+                        services.recordEnded(chosenLink.target());
                     }
                     carryOut(actions);
                 });
     }
 
-    /** There is no target. For any thread. */
+    /** Called when no target is available for an attempt. Thread-safe. */
     void noTarget(AttemptId attempt, ErrorCode code, long retryAfterMillis) {
-        post(new ExchangeEvent.NoTarget(attempt, code, retryAfterMillis));
+        postEvent(new ExchangeEvent.NoTarget(attempt, code, retryAfterMillis));
     }
 
-    /** The connection of an attempt closed. For any thread. */
+    /** Called when the connection of an attempt closed. Thread-safe. */
     void connectionLost(AttemptId attempt) {
-        post(new ExchangeEvent.ConnectionLost(attempt));
+        postEvent(new ExchangeEvent.ConnectionLost(attempt));
     }
 
-    /** A target answered. For any thread. */
+    /** Called when a message from a target arrived. Thread-safe. */
     void received(Message message) {
         channel.execute(
                 () -> {
-                    note(message);
+                    recordMessage(message);
                     handle(new ExchangeEvent.Received(message));
                 });
     }
 
-    /** The daemon ends before the request does. For any thread. */
-    void giveUp() {
-        post(new ExchangeEvent.Abandoned());
+    /** Abandons the request because the daemon is stopping. Thread-safe. */
+    void abandon() {
+        postEvent(new ExchangeEvent.Abandoned());
     }
 
-    private void note(Message message) {
+    private void recordMessage(Message message) {
         if (message instanceof Message.Chunk) {
-            times.firstPart(ControlThread.nowMillis());
-            if (gone) {
-                record.missed();
+            times.recordPart(ControlThread.nowMillis());
+            if (callerDisconnected) {
+                outcomeTracker.recordMissedPart();
             }
-        } else if (message instanceof Message.Finished last) {
-            record.finished(last);
+        } else if (message instanceof Message.Finished finished) {
+            outcomeTracker.recordFinished(finished);
         }
     }
 
     @Override
     public void onWritten(int bytes) {
-        record.written(bytes);
+        outcomeTracker.recordWritten(bytes);
         handle(new ExchangeEvent.CallerRead(bytes));
     }
 
     @Override
-    public void onGone() {
-        gone = true;
-        record.gone();
-        services.metrics().event(EntryMetrics.Event.CALLER_GONE);
+    public void onDisconnected() {
+        callerDisconnected = true;
+        outcomeTracker.recordDisconnected();
+        services.metrics().countEvent(EntryMetrics.Event.CALLER_GONE);
         handle(new ExchangeEvent.CallerDisconnected());
         if (!exchange.isEnded()) {
-            awaitVerdict();
+            scheduleAbandonment();
         }
     }
 
     @Override
-    public void onDone() {
-        answered = true;
-        endIfOver();
+    public void onCompleted() {
+        channelCompleted = true;
+        reportIfEnded();
     }
 
-    private void post(ExchangeEvent event) {
+    private void postEvent(ExchangeEvent event) {
         channel.execute(() -> handle(event));
     }
 
@@ -194,10 +195,10 @@
     }
 
     private void carryOut(List<ExchangeAction> actions) {
-        batches++;
+        batchDepth++;
         actions.forEach(this::carryOut);
-        batches--;
-        endIfOver();
+        batchDepth--;
+        reportIfEnded();
     }
 
     private void carryOut(ExchangeAction action) {
@@ -206,72 +207,75 @@
         } else if (action instanceof ExchangeAction.SendAttempt send) {
             send(send.attempt());
         } else if (action instanceof ExchangeAction.CancelAttempt cancel) {
-            link.ifPresent(open -> open.send(new Message.Cancel(cancel.attempt())));
-            awaitVerdict();
+            link.ifPresent(openLink -> openLink.send(new Message.Cancel(cancel.attempt())));
+            scheduleAbandonment();
         } else if (action instanceof ExchangeAction.GrantCredit credit) {
-            link.ifPresent(open -> open.send(new Message.Credit(credit.attempt(), credit.bytes())));
-        } else if (action instanceof ExchangeAction.AttemptEnded attemptOver) {
-            attemptOver(attemptOver.attempt());
+            link.ifPresent(
+                    openLink ->
+                            openLink.send(new Message.Credit(credit.attempt(), credit.bytes())));
+        } else if (action instanceof ExchangeAction.AttemptEnded ended) {
+            releaseAttempt(ended.attempt());
         } else if (action instanceof ExchangeAction.Settle settle) {
             settle(settle.ran());
         } else if (action instanceof ExchangeAction.LateMessageDropped) {
-            services.metrics().event(EntryMetrics.Event.LATE_FRAME);
+            services.metrics().countEvent(EntryMetrics.Event.LATE_FRAME);
         } else if (action instanceof ExchangeAction.Breach breach) {
-            breach(breach);
+            reportBreach(breach);
         } else {
-            answer(action);
+            sendToCaller(action);
         }
     }
 
-    private void answer(ExchangeAction action) {
+    private void sendToCaller(ExchangeAction action) {
         answerSent =
                 !(action instanceof ExchangeAction.AnswerHead
                         || action instanceof ExchangeAction.AnswerPart);
         if (action instanceof ExchangeAction.AnswerWhole whole) {
-            record.passed(whole.body().length);
-            channel.whole(whole.status(), withTarget(whole.headers()), whole.body());
+            outcomeTracker.recordForwarded(whole.body().length);
+            channel.sendWhole(whole.status(), withTargetHeader(whole.headers()), whole.body());
         } else if (action instanceof ExchangeAction.AnswerHead head) {
-            channel.head(head.status(), withTarget(head.headers()));
+            channel.sendHead(head.status(), withTargetHeader(head.headers()));
         } else if (action instanceof ExchangeAction.AnswerPart part) {
-            record.passed(part.bytes().length);
-            channel.part(part.bytes());
+            outcomeTracker.recordForwarded(part.bytes().length);
+            channel.sendPart(part.bytes());
         } else if (action instanceof ExchangeAction.AnswerEnd) {
-            channel.end();
+            channel.sendEnd();
         } else if (action instanceof ExchangeAction.AnswerError failed) {
-            record.error(failed);
-            services.metrics().error(failed.code());
-            channel.error(CallerError.of(failed.code(), failed.ran(), failed.retryAfterMillis()));
+            outcomeTracker.recordError(failed);
+            services.metrics().countError(failed.code());
+            channel.sendError(
+                    CallerError.of(failed.code(), failed.ran(), failed.retryAfterMillis()));
         } else {
-            record.cut();
-            services.metrics().event(EntryMetrics.Event.CALLER_CUT);
-            channel.cut();
+            outcomeTracker.recordAborted();
+            services.metrics().countEvent(EntryMetrics.Event.CALLER_CUT);
+            channel.abort();
         }
     }
 
-    private Map<String, String> withTarget(Map<String, String> headers) {
-        Map<String, String> all = new TreeMap<>(headers);
-        link.ifPresent(open -> all.put("x-target", open.target().value()));
-        return all;
+    private Map<String, String> withTargetHeader(Map<String, String> headers) {
+        Map<String, String> allHeaders = new TreeMap<>(headers);
+        link.ifPresent(openLink -> allHeaders.put("x-target", openLink.target().value()));
+        return allHeaders;
     }
 
     private void route(ExchangeAction.Route route) {
         if (route.attempt().attempt() > 0) {
-            services.metrics().event(EntryMetrics.Event.RETRY);
+            services.metrics().countEvent(EntryMetrics.Event.RETRY);
         }
         Set<TargetId> tried = route.tried();
         if (route.delayMillis() == 0) {
-            services.route(request.query(), tried, route.attempt(), this);
+            services.route(request.routingQuery(), tried, route.attempt(), this);
         } else {
-            channel.after(
+            channel.executeAfter(
                     route.delayMillis(),
-                    () -> services.route(request.query(), tried, route.attempt(), this));
+                    () -> services.route(request.routingQuery(), tried, route.attempt(), this));
         }
     }
 
     private void send(AttemptId attempt) {
-        services.metrics().event(EntryMetrics.Event.ATTEMPT);
+        services.metrics().countEvent(EntryMetrics.Event.ATTEMPT);
         long now = ControlThread.nowMillis();
-        times.sent(now);
+        times.recordSent(now);
         long remaining = Math.max(1, deadlineAtMillis - now);
         long waitLimit =
                 Math.min(
@@ -293,8 +297,8 @@
                 request.account().id(),
                 request.requestClass().id(),
                 request.kind(),
-                request.query().model(),
-                request.query().adapter(),
+                request.routingQuery().model(),
+                request.routingQuery().adapter(),
                 request.idempotent(),
                 request.estimatedTokens(),
                 waitLimitMillis,
@@ -303,47 +307,48 @@
                 request.path(),
                 request.headers(),
                 request.body(),
-                request.stream(),
+                request.streaming(),
                 CREDIT_BYTES);
     }
 
-    private void attemptOver(AttemptId attempt) {
+    private void releaseAttempt(AttemptId attempt) {
         link.ifPresent(
-                open -> {
-                    open.over(attempt);
-                    services.ended(open.target());
+                openLink -> {
+                    openLink.removeAttempt(attempt);
+                    services.recordEnded(openLink.target());
                 });
     }
 
-    private void awaitVerdict() {
-        channel.after(VERDICT_MILLIS, this::giveUpIfAnswerSent);
+    private void scheduleAbandonment() {
+        channel.executeAfter(OUTCOME_TIMEOUT_MILLIS, this::abandonUnlessAnswerPending);
     }
 
-    private void giveUpIfAnswerSent() {
-        if (answerSent || gone) {
+    private void abandonUnlessAnswerPending() {
+        if (answerSent || callerDisconnected) {
             handle(new ExchangeEvent.Abandoned());
         }
     }
 
     private void settle(Ran ran) {
-        claim.ifPresent(number -> services.settle(number, ran));
+        claim.ifPresent(claimNumber -> services.settleClaim(claimNumber, ran));
     }
 
-    private void breach(ExchangeAction.Breach breach) {
+    private void reportBreach(ExchangeAction.Breach breach) {
         boolean invariant = breach.code() == ErrorCode.INVARIANT_BREACH;
         services.metrics()
-                .event(
+                .countEvent(
                         invariant
                                 ? EntryMetrics.Event.INVARIANT_BREACH
                                 : EntryMetrics.Event.ANSWER_FAULT);
         LOG.errorf("event=answer-fault code=%s detail=%s", breach.code(), breach.detail());
     }
 
-    // A channel may end in the middle of a batch of actions, and the state is ahead of what has
-    // been carried out; reported then, a request that is being settled would count as failed.
-    private void endIfOver() {
-        if (!over && batches == 0 && answered && exchange.isEnded()) {
-            over = true;
+    // The channel can complete in the middle of a batch of actions, when the state of the exchange
+    // is ahead of the actions carried out so far. A report at that point would count a request that
+    // is still being settled as failed, so the report waits for the end of the batch.
+    private void reportIfEnded() {
+        if (!reported && batchDepth == 0 && channelCompleted && exchange.isEnded()) {
+            reported = true;
             services.inProgress().remove(this);
             report();
         }
@@ -351,17 +356,21 @@
 
     private void report() {
         EntryMetrics metrics = services.metrics();
-        record.served()
+        outcomeTracker
+                .servedAnswer()
                 .ifPresentOrElse(
-                        this::reportServed, () -> metrics.count(request, record.otherwise()));
+                        this::reportServed,
+                        () -> metrics.count(request, outcomeTracker.unservedOutcome()));
     }
 
     private void reportServed(Message.Finished finished) {
         EntryMetrics metrics = services.metrics();
         long now = ControlThread.nowMillis();
-        boolean inClass = times.finished(metrics, request, finished, now);
-        metrics.count(request, inClass ? RequestOutcome.IN_CLASS : RequestOutcome.LATE);
-        metrics.tokens(request, finished.promptTokens(), finished.answerTokens());
-        link.ifPresent(open -> services.served(open.target(), times.runMillis(now, finished)));
+        boolean metObjectives = times.recordFinished(metrics, request, finished, now);
+        metrics.count(request, metObjectives ? RequestOutcome.IN_CLASS : RequestOutcome.LATE);
+        metrics.countTokens(request, finished.promptTokens(), finished.answerTokens());
+        link.ifPresent(
+                openLink ->
+                        services.recordServed(openLink.target(), times.runMillis(now, finished)));
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestServices.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestServices.java
@@ -7,28 +7,31 @@
 import org.tamaracktrack.core.retry.RetryPolicy;
 import org.tamaracktrack.core.routing.RoutingQuery;
 
-/** What the daemon does for its requests. For any thread. */
+/** The services that the daemon provides to running requests. Implementations are thread-safe. */
 interface RequestServices {
 
-    AttemptId newRequest();
+    /** Registers a new request and returns the identifier of its first attempt. */
+    AttemptId newFirstAttempt();
 
-    RetryPolicy retryRule();
+    RetryPolicy retryPolicy();
 
     EntryMetrics metrics();
 
+    /** Returns the mutable set of the runners of requests in progress. */
     Set<RequestRunner> inProgress();
 
-    /** Chooses a target; the runner hears of it. */
+    /** Selects a target for an attempt and notifies the runner of the result. */
     void route(RoutingQuery query, Set<TargetId> tried, AttemptId attempt, RequestRunner runner);
 
-    /** An attempt that had been routed to a target ended. */
-    void ended(TargetId target);
+    /** Records that an attempt routed to a target ended. */
+    void recordEnded(TargetId target);
 
-    /** An attempt ended with a whole answer. */
-    void served(TargetId target, long runMillis);
+    /** Records that a target served an attempt with a complete answer. */
+    void recordServed(TargetId target, long runMillis);
 
-    /** Claims the request's key; the runner hears of it. */
-    void claim(CallerRequest request, RequestRunner runner);
+    /** Claims the request's idempotency key and notifies the runner of the result. */
+    void claimKey(CallerRequest request, RequestRunner runner);
 
-    void settle(long claim, Ran ran);
+    /** Records whether the request of a claim ran. */
+    void settleClaim(long claim, Ran ran);
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestTimes.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/RequestTimes.java
@@ -4,55 +4,65 @@
 import org.tamaracktrack.core.config.Configuration;
 import org.tamaracktrack.core.message.Message;
 
-/** When the parts of an answer came, for the objectives of the class. */
+/** Tracks when the parts of an answer arrived, to check the objectives of the request class. */
 final class RequestTimes {
     private final long arrivedAtMillis;
-    private OptionalLong firstAtMillis = OptionalLong.empty();
+    private OptionalLong firstPartAtMillis = OptionalLong.empty();
     private long sentAtMillis;
 
     private RequestTimes(long arrivedAtMillis) {
         this.arrivedAtMillis = arrivedAtMillis;
     }
 
-    static RequestTimes arrived(long nowMillis) {
+    static RequestTimes arrivedAt(long nowMillis) {
         return new RequestTimes(nowMillis);
     }
 
-    void sent(long nowMillis) {
+    void recordSent(long nowMillis) {
         sentAtMillis = nowMillis;
-        firstAtMillis = OptionalLong.empty();
+        firstPartAtMillis = OptionalLong.empty();
     }
 
-    void firstPart(long nowMillis) {
-        if (firstAtMillis.isEmpty()) {
-            firstAtMillis = OptionalLong.of(nowMillis);
+    void recordPart(long nowMillis) {
+        if (firstPartAtMillis.isEmpty()) {
+            firstPartAtMillis = OptionalLong.of(nowMillis);
         }
     }
 
+    /** Returns the time between sending the attempt and now, without the time in the queue. */
     long runMillis(long nowMillis, Message.Finished finished) {
         return Math.max(0, nowMillis - sentAtMillis - finished.queuedMillis());
     }
 
-    /** Writes the spans of a whole answer and returns whether it kept its class. */
-    boolean finished(
-            EntryMetrics metrics, CallerRequest request, Message.Finished finished, long now) {
+    /**
+     * Records the durations of a complete answer and returns whether it met the objectives of its
+     * request class.
+     */
+    boolean recordFinished(
+            EntryMetrics metrics,
+            CallerRequest request,
+            Message.Finished finished,
+            long nowMillis) {
         Configuration.RequestClass objectives = request.requestClass();
-        long total = now - arrivedAtMillis;
-        metrics.time(EntryMetrics.Span.WAIT, request, finished.queuedMillis());
-        metrics.time(EntryMetrics.Span.TOTAL, request, total);
-        boolean inClass = total <= objectives.totalMillis();
-        // An answer in one piece has no first token that its caller sees; its total is judged.
-        if (request.stream() && firstAtMillis.isPresent()) {
-            long first = firstAtMillis.getAsLong() - arrivedAtMillis;
-            metrics.time(EntryMetrics.Span.FIRST_TOKEN, request, first);
-            inClass &= first <= objectives.firstTokenMillis();
+        long totalMillis = nowMillis - arrivedAtMillis;
+        metrics.recordDuration(EntryMetrics.Span.WAIT, request, finished.queuedMillis());
+        metrics.recordDuration(EntryMetrics.Span.TOTAL, request, totalMillis);
+        boolean metObjectives = totalMillis <= objectives.totalMillis();
+        // The caller of an answer that is not streamed sees no first token, so only the total time
+        // is checked.
+        if (request.streaming() && firstPartAtMillis.isPresent()) {
+            long firstTokenMillis = firstPartAtMillis.getAsLong() - arrivedAtMillis;
+            metrics.recordDuration(EntryMetrics.Span.FIRST_TOKEN, request, firstTokenMillis);
+            metObjectives &= firstTokenMillis <= objectives.firstTokenMillis();
             if (finished.answerTokens() > 1) {
-                double between =
-                        (double) (now - firstAtMillis.getAsLong()) / (finished.answerTokens() - 1);
-                metrics.time(EntryMetrics.Span.BETWEEN_TOKENS, request, between);
-                inClass &= between <= objectives.betweenTokensMillis();
+                double betweenTokensMillis =
+                        (double) (nowMillis - firstPartAtMillis.getAsLong())
+                                / (finished.answerTokens() - 1);
+                metrics.recordDuration(
+                        EntryMetrics.Span.BETWEEN_TOKENS, request, betweenTokensMillis);
+                metObjectives &= betweenTokensMillis <= objectives.betweenTokensMillis();
             }
         }
-        return inClass;
+        return metObjectives;
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
@@ -29,7 +29,10 @@
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.daemon.settings.IpAddresses;
 
-/** The targets of this daemon: connections to them and the choice among them. */
+/**
+ * Holds the connections of this daemon to its targets and selects a target for each attempt. All
+ * methods must be called on the control thread unless stated otherwise.
+ */
 final class TargetDirectory implements TargetView {
     private static final Logger LOG = Logger.getLogger(TargetDirectory.class);
     private static final long NO_TARGET_RETRY_MILLIS = 1_000;
@@ -60,7 +63,7 @@
         return table;
     }
 
-    /** The runners of attempts under way. For any thread. */
+    /** Returns the runners of attempts in progress. The map is thread-safe. */
     Map<AttemptId, RequestRunner> runners() {
         return runners;
     }
@@ -74,7 +77,7 @@
         chosen.ifPresentOrElse(
                 link -> {
                     table.recordSent(link.target());
-                    runner.chosen(attempt, link);
+                    runner.targetChosen(attempt, link);
                 },
                 () -> runner.noTarget(attempt, ErrorCode.NO_TARGET, NO_TARGET_RETRY_MILLIS));
     }
@@ -83,11 +86,11 @@
         return membership.accepts(target, ControlThread.nowMillis());
     }
 
-    void ended(TargetId target) {
+    void recordEnded(TargetId target) {
         table.recordEnded(target);
     }
 
-    void served(TargetId target, long runMillis) {
+    void recordServed(TargetId target, long runMillis) {
         table.recordServed(target, runMillis);
     }
 
@@ -99,7 +102,7 @@
         carryOut(membership.ownershipOffered(owned));
     }
 
-    List<Message.Owned> owned() {
+    List<Message.Owned> ownedTargets() {
         return membership.ownedTargets();
     }
 
@@ -107,7 +110,7 @@
         plans.handle(record).ifPresent(plan -> table.applyPlan(plan.placements()));
     }
 
-    void onHosts(Set<HostId> leaving) {
+    void onHostListRead(Set<HostId> leaving) {
         membership.hostListRead(leaving);
     }
 
@@ -130,7 +133,7 @@
             link(close.target(), close.owner()).ifPresent(TargetLink::close);
             onClosed(close.target(), close.owner());
         } else if (action instanceof MembershipAction.Retire retire) {
-            retire(retire);
+            closeWhenIdle(retire);
         }
     }
 
@@ -149,15 +152,15 @@
         return Optional.ofNullable(links.get(target)).filter(link -> link.owner().equals(owner));
     }
 
-    // The former owner may still be finishing what it has in progress; closing its connection now
-    // would cut those answers.
-    private void retire(MembershipAction.Retire retire) {
+    // The former owner may still have attempts in progress. Closing its connection now would
+    // truncate their answers, so it is closed when they have ended.
+    private void closeWhenIdle(MembershipAction.Retire retire) {
         link(retire.target(), retire.owner())
                 .ifPresent(
                         link -> {
                             links.remove(retire.target());
                             table.clearLoad(retire.target());
-                            peers.retire(link);
+                            peers.closeWhenIdle(link);
                         });
     }
 
@@ -178,7 +181,7 @@
         membership.connectionClosed(target, owner, ControlThread.nowMillis());
     }
 
-    void onHeard(TargetLink link) {
+    void onMessageReceived(TargetLink link) {
         membership.messageReceived(link.target(), link.owner(), ControlThread.nowMillis());
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetLink.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetLink.java
@@ -9,7 +9,7 @@
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.link.frame.Connection;
 
-/** An open connection to a target daemon and the attempts that are under way on it. */
+/** An open connection to a target daemon and the attempts in progress on it. Thread-safe. */
 final class TargetLink {
     private final TargetId target;
     private final IncarnationId owner;
@@ -44,21 +44,26 @@
         return owner;
     }
 
-    boolean idle() {
+    boolean isIdle() {
         return outstanding.isEmpty();
     }
 
-    /** Queues an attempt; false means that it was certainly not sent. */
+    /**
+     * Queues an attempt on the connection.
+     *
+     * @return false if the attempt was certainly not sent
+     */
     boolean submit(Message.Submit submit, RequestRunner runner) {
         AttemptId attempt = submit.attempt();
         runners.put(attempt, runner);
         outstanding.add(attempt);
         if (!connection.send(submit)) {
-            over(attempt);
+            removeAttempt(attempt);
             return false;
         }
-        // The connection may have closed between the queueing and here, after its attempts were
-        // told; whoever takes the attempt out tells it, so that it is told once.
+        // The connection may have closed after the attempt was queued, when the runners of its
+        // attempts had already been notified. Only the thread that removes the attempt from the set
+        // notifies the runner, so that it is notified once.
         if (!connection.isOpen() && outstanding.remove(attempt)) {
             runner.connectionLost(attempt);
         }
@@ -69,7 +74,7 @@
         connection.send(message);
     }
 
-    void over(AttemptId attempt) {
+    void removeAttempt(AttemptId attempt) {
         outstanding.remove(attempt);
         runners.remove(attempt);
     }
@@ -78,7 +83,7 @@
         connection.close();
     }
 
-    void closed() {
+    void onConnectionClosed() {
         outstanding.forEach(
                 attempt -> {
                     RequestRunner runner = runners.get(attempt);
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetPeers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetPeers.java
@@ -16,10 +16,10 @@
 import org.tamaracktrack.link.frame.ConnectionHandler;
 import org.tamaracktrack.link.frame.FrameTransport;
 
-/** Opens connections to target daemons and hands on what arrives. */
+/** Opens connections to target daemons and dispatches the messages that arrive on them. */
 final class TargetPeers {
     private static final Logger LOG = Logger.getLogger(TargetPeers.class);
-    private static final long RETIRE_CHECK_MILLIS = 500;
+    private static final long IDLE_CHECK_MILLIS = 500;
     static final String ROLE = "entry";
 
     private final FrameTransport transport;
@@ -53,8 +53,8 @@
         return new TargetPeers(transport, control, incarnation, configuration, metrics);
     }
 
-    /** Sets who hears of the connections; before the first of them. */
-    void directory(TargetDirectory newDirectory) {
+    /** Sets the directory to notify. Must be called before the first connection is opened. */
+    void setDirectory(TargetDirectory newDirectory) {
         directory = newDirectory;
     }
 
@@ -62,11 +62,12 @@
         transport.connect(address, new Handler(target, owner));
     }
 
-    void retire(TargetLink link) {
-        if (link.idle()) {
+    /** Closes a connection once no attempts are in progress on it. */
+    void closeWhenIdle(TargetLink link) {
+        if (link.isIdle()) {
             link.close();
         } else {
-            control.after(RETIRE_CHECK_MILLIS, () -> retire(link));
+            control.after(IDLE_CHECK_MILLIS, () -> closeWhenIdle(link));
         }
     }
 
@@ -95,12 +96,12 @@
             if (message instanceof Message.Hello hello) {
                 onHello(connection, hello);
             } else {
-                link.ifPresent(open -> onAnswer(open, message));
+                link.ifPresent(openLink -> onTargetMessage(openLink, message));
             }
         }
 
-        // An address is used again by other processes: taken for the owner, a successor or another
-        // target's daemon would be sent work that is not meant for it.
+        // Another process may have reused the address. Without this check, a later incarnation or
+        // the daemon of another target would receive requests that are not meant for it.
         private void onHello(Connection connection, Message.Hello hello) {
             if (!hello.incarnation().equals(owner) || !hello.target().equals(Optional.of(target))) {
                 LOG.warnf("event=wrong-peer target=%s found=%s", target, hello.incarnation());
@@ -112,39 +113,39 @@
             control.post(() -> directory.onOpened(opened));
         }
 
-        private void onAnswer(TargetLink open, Message message) {
-            control.post(() -> directory.onHeard(open));
+        private void onTargetMessage(TargetLink openLink, Message message) {
+            control.post(() -> directory.onMessageReceived(openLink));
             if (message instanceof Message.Refused refused) {
-                control.post(() -> directory.onLoad(open, refused.load()));
-                pass(refused.attempt(), message);
+                control.post(() -> directory.onLoad(openLink, refused.load()));
+                forwardToRunner(refused.attempt(), message);
             } else if (message instanceof Message.Started started) {
-                pass(started.attempt(), message);
+                forwardToRunner(started.attempt(), message);
             } else if (message instanceof Message.Chunk chunk) {
-                pass(chunk.attempt(), message);
+                forwardToRunner(chunk.attempt(), message);
             } else if (message instanceof Message.Finished finished) {
-                control.post(() -> directory.onLoad(open, finished.load()));
-                pass(finished.attempt(), message);
+                control.post(() -> directory.onLoad(openLink, finished.load()));
+                forwardToRunner(finished.attempt(), message);
             } else if (message instanceof Message.Failed failed) {
-                control.post(() -> directory.onLoad(open, failed.load()));
-                pass(failed.attempt(), message);
+                control.post(() -> directory.onLoad(openLink, failed.load()));
+                forwardToRunner(failed.attempt(), message);
             } else if (message instanceof Message.LoadReport report) {
-                control.post(() -> directory.onLoad(open, report.load()));
+                control.post(() -> directory.onLoad(openLink, report.load()));
             } else if (message instanceof Message.Leaving) {
-                control.post(() -> directory.onLeaving(open));
+                control.post(() -> directory.onLeaving(openLink));
             }
         }
 
-        private void pass(AttemptId attempt, Message message) {
+        private void forwardToRunner(AttemptId attempt, Message message) {
             Map<AttemptId, RequestRunner> runners = directory.runners();
             Optional.ofNullable(runners.get(attempt))
                     .ifPresentOrElse(
                             runner -> runner.received(message),
-                            () -> metrics.event(EntryMetrics.Event.LATE_FRAME));
+                            () -> metrics.countEvent(EntryMetrics.Event.LATE_FRAME));
         }
 
         @Override
         public void onClosed(Connection connection) {
-            link.ifPresent(TargetLink::closed);
+            link.ifPresent(TargetLink::onConnectionClosed);
             control.post(() -> directory.onClosed(target, owner));
         }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/UndertowCallerChannel.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/UndertowCallerChannel.java
@@ -19,22 +19,22 @@
 import org.tamaracktrack.daemon.connection.ConnectionHeaders;
 import org.xnio.IoUtils;
 
-/** The way back to a caller through Undertow, without blocking. */
+/** Sends the answer to a caller through Undertow without blocking. */
 final class UndertowCallerChannel implements CallerChannel {
     private static final Logger LOG = Logger.getLogger(UndertowCallerChannel.class);
-    private static final long STALLED_MILLIS = 30_000;
+    private static final long WRITE_TIMEOUT_MILLIS = 30_000;
     private static final long MILLIS_PER_SECOND = 1_000;
-    private static final Set<String> OWN_HEADERS = Set.of("date", "server");
+    private static final Set<String> SERVER_HEADERS = Set.of("date", "server");
 
     private final HttpServerExchange exchange;
     private final CallerConnection connection;
     private final BooleanSupplier lastOnConnection;
-    private final Deque<byte[]> parts = new ArrayDeque<>();
+    private final Deque<byte[]> pendingParts = new ArrayDeque<>();
     private Listener listener;
     private boolean writing;
-    private boolean ended;
-    private boolean done;
-    private long writtenParts;
+    private boolean lastPartQueued;
+    private boolean completed;
+    private long startedWrites;
 
     private UndertowCallerChannel(
             HttpServerExchange exchange,
@@ -46,11 +46,12 @@
     }
 
     /**
-     * Returns a channel. The exchange must have been dispatched.
+     * Returns a channel. The exchange must be dispatched before the channel is used.
      *
      * @param exchange the exchange
-     * @param connection its connection
-     * @param lastOnConnection whether the connection is to be closed after the answer
+     * @param connection the connection of the exchange
+     * @param lastOnConnection whether to close the connection after the answer; evaluated when the
+     *     head of the answer is written
      */
     static UndertowCallerChannel of(
             HttpServerExchange exchange,
@@ -69,51 +70,52 @@
     }
 
     @Override
-    public void after(long delayMillis, Runnable task) {
+    public void executeAfter(long delayMillis, Runnable task) {
         exchange.getIoThread().executeAfter(task, Math.max(1, delayMillis), TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void listen(Listener newListener) {
         listener = newListener;
-        connection.onClosed(this::closed);
+        connection.onClosed(this::onConnectionClosed);
         CallerConnection.watch(exchange);
     }
 
-    private void closed() {
-        if (!done) {
-            done = true;
-            listener.onGone();
-            listener.onDone();
+    private void onConnectionClosed() {
+        if (!completed) {
+            completed = true;
+            listener.onDisconnected();
+            listener.onCompleted();
         }
     }
 
     @Override
-    public void whole(int status, Map<String, String> headers, byte[] body) {
-        if (!done) {
+    public void sendWhole(int status, Map<String, String> headers, byte[] body) {
+        if (!completed) {
             putHead(status, headers);
             exchange.setResponseContentLength(body.length);
-            ended = true;
-            add(body);
+            lastPartQueued = true;
+            enqueue(body);
         }
     }
 
     @Override
-    public void error(CallerError error) {
+    public void sendError(CallerError error) {
         if (error.retryAfterMillis() >= 0) {
             long seconds = (error.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Long.toString(seconds));
         }
-        whole(error.code().status(), Map.of("content-type", "application/json"), error.json());
+        sendWhole(
+                error.code().status(), Map.of("content-type", "application/json"), error.toJson());
     }
 
     @Override
-    public void head(int status, Map<String, String> headers) {
-        if (!done) {
+    public void sendHead(int status, Map<String, String> headers) {
+        if (!completed) {
             putHead(status, headers);
-            // On a connection that is closed after its answer Undertow marks the end of a body of
-            // unknown length by closing; a stream that broke would then look whole. Chunked, a
-            // missing last chunk shows.
+            // On a connection that is closed after its answer, Undertow marks the end of a body of
+            // unknown length by closing the connection, so a truncated stream would appear
+            // complete. With chunked encoding the client detects the missing last chunk.
             exchange.getResponseHeaders()
                     .put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
         }
@@ -124,7 +126,7 @@
         headers.entrySet().stream()
                 .filter(
                         header ->
-                                !OWN_HEADERS.contains(header.getKey())
+                                !SERVER_HEADERS.contains(header.getKey())
                                         && !ConnectionHeaders.contains(header.getKey()))
                 .forEach(
                         header ->
@@ -138,86 +140,89 @@
     }
 
     @Override
-    public void part(byte[] bytes) {
-        if (!done) {
-            add(bytes);
+    public void sendPart(byte[] bytes) {
+        if (!completed) {
+            enqueue(bytes);
         }
     }
 
     @Override
-    public void end() {
-        if (!done) {
-            ended = true;
+    public void sendEnd() {
+        if (!completed) {
+            lastPartQueued = true;
             writeNext();
         }
     }
 
-    private void add(byte[] bytes) {
-        parts.add(bytes);
+    private void enqueue(byte[] bytes) {
+        pendingParts.add(bytes);
         writeNext();
     }
 
     private void writeNext() {
-        if (writing || done) {
+        if (writing || completed) {
             return;
         }
-        byte[] next = parts.poll();
+        byte[] next = pendingParts.poll();
         if (next != null) {
             write(next);
-        } else if (ended) {
+        } else if (lastPartQueued) {
             finish();
         }
     }
 
     private void write(byte[] bytes) {
         writing = true;
-        long part = ++writtenParts;
-        // A caller that stops reading would hold its connection and what waits for it for ever.
-        after(STALLED_MILLIS, () -> cutIfStalledAt(part));
+        long writeNumber = ++startedWrites;
+        // Without a timeout, a caller that stops reading would occupy its connection and the parts
+        // that wait to be written without limit.
+        executeAfter(WRITE_TIMEOUT_MILLIS, () -> abortIfStalledAt(writeNumber));
         exchange.getResponseSender()
                 .send(
                         ByteBuffer.wrap(bytes),
                         new IoCallback() {
                             @Override
-                            public void onComplete(HttpServerExchange same, Sender sender) {
-                                execute(() -> written(bytes.length));
+                            public void onComplete(HttpServerExchange sameExchange, Sender sender) {
+                                execute(() -> onPartWritten(bytes.length));
                             }
 
                             @Override
                             public void onException(
-                                    HttpServerExchange same, Sender sender, IOException failure) {
-                                execute(UndertowCallerChannel.this::cut);
+                                    HttpServerExchange sameExchange,
+                                    Sender sender,
+                                    IOException failure) {
+                                execute(UndertowCallerChannel.this::abort);
                             }
                         });
     }
 
-    private void cutIfStalledAt(long part) {
-        if (writing && !done && writtenParts == part) {
-            cut();
+    private void abortIfStalledAt(long writeNumber) {
+        if (writing && !completed && startedWrites == writeNumber) {
+            abort();
         }
     }
 
-    private void written(int bytes) {
+    private void onPartWritten(int bytes) {
         writing = false;
-        if (!done) {
+        if (!completed) {
             listener.onWritten(bytes);
             writeNext();
         }
     }
 
     private void finish() {
-        done = true;
+        completed = true;
         connection.onClosed(() -> {});
         exchange.endExchange();
-        listener.onDone();
+        listener.onCompleted();
     }
 
-    // An orderly end of a chunked body would make a part look whole; with the connection closed
-    // before the last chunk, every HTTP library reports an error.
+    // Ending the chunked body properly would make a truncated answer appear complete. If the
+    // connection is closed before the last chunk, every HTTP library reports an error.
     @Override
-    public void cut() {
-        parts.clear();
+    public void abort() {
+        pendingParts.clear();
         IoUtils.safeClose(exchange.getConnection());
-        closed();
+        onConnectionClosed();
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/AtMostOnceTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/AtMostOnceTest.java
@@ -16,10 +16,10 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
-/** Point 5: a keyed request that may not be repeated runs at most once, through two daemons. */
+/** Tests that a request with an idempotency key runs at most once across two entry daemons. */
 @Timeout(60)
 class AtMostOnceTest {
-    private final MemoryLog log = new MemoryLog();
+    private final InMemoryLogClient log = new InMemoryLogClient();
     private final AtomicInteger runs = new AtomicInteger();
     private EntryFixture first;
     private EntryFixture second;
@@ -32,19 +32,19 @@
                 .forEach(
                         entry -> {
                             FakeTarget target = entry.target("service-1");
-                            target.behave(
+                            target.setBehaviour(
                                     (connection, submit) -> {
                                         runs.incrementAndGet();
-                                        target.whole(connection, submit, "charged");
+                                        target.sendWholeAnswer(connection, submit, "charged");
                                     });
-                            target.own(log);
+                            target.announceOwnership(log);
                         });
         List.of(first, second)
                 .forEach(
                         entry ->
                                 EntryFixture.await(
                                         () ->
-                                                entry.onControl(
+                                                entry.callOnControlThread(
                                                                 () ->
                                                                         entry.role
                                                                                 .targets()
@@ -65,10 +65,11 @@
                 .header("Idempotency-Key", key);
     }
 
-    // The caller's client retries at once through the balancer: the same key reaches both daemons
-    // at the same moment. One charge is made; the other call learns that the key is taken.
+    // A client that retries immediately through the load balancer sends the same key to both
+    // daemons at the same time. The service must be called once; the other requests get the error
+    // that the key is in use.
     @Test
-    void shouldRunOnceWhenBothDaemonsGetTheKeyAtTheSameMoment() {
+    void shouldRunOnceWhenTwoDaemonsReceiveTheKeyConcurrently() {
         List<CompletableFuture<HttpResponse<String>>> answers =
                 IntStream.range(0, 20)
                         .mapToObj(
@@ -87,7 +88,7 @@
     }
 
     @Test
-    void shouldSayThatItRanWhenTheKeyComesAgainThroughTheOtherDaemon() {
+    void shouldAnswerKeyAlreadyRanWhenTheKeyIsReusedThroughAnotherDaemon() {
         assertThat(first.call(charge(first, "order-1")).body()).isEqualTo("charged");
 
         EntryFixture.await(
@@ -98,30 +99,31 @@
     @Test
     void shouldRunTwiceWhenTwoAccountsUseTheSameKey() {
         first.call(charge(first, "order-1"));
-        HttpRequest.Builder other =
+        HttpRequest.Builder otherAccountRequest =
                 charge(first, "order-1")
                         .setHeader("Authorization", "Bearer " + EntryFixture.OTHER_KEY);
 
-        assertThat(first.call(other).statusCode()).isEqualTo(200);
+        assertThat(first.call(otherAccountRequest).statusCode()).isEqualTo(200);
         assertThat(runs.get()).isEqualTo(2);
     }
 
-    // The log takes the claim and its answer is lost. Read back, it is there: the charge is made,
-    // once, and the key is known to have run.
+    // The log stores the claim, but the answer to the append is lost. The daemon finds the claim
+    // when it reads the log, so the request runs once and a second one with the key is refused.
     @Test
-    void shouldRunOnceWhenTheLogsAnswerIsLost() {
-        log.loseAnswers(1);
+    void shouldRunOnceWhenTheAnswerToTheAppendIsLost() {
+        log.loseNextAnswers(1);
 
         assertThat(first.call(charge(first, "order-2")).statusCode()).isEqualTo(200);
         assertThat(second.call(charge(second, "order-2")).statusCode()).isEqualTo(409);
         assertThat(runs.get()).isEqualTo(1);
     }
 
-    // During an outage no key can be claimed: the caller hears at once that nothing ran and when
-    // to try again; calls that may be repeated go on.
+    // While the log is unavailable no key can be claimed. The caller must immediately get an error
+    // that states that nothing ran and when to retry; requests that may be repeated are still
+    // served.
     @Test
-    void shouldRefuseAtOnceWhenTheLogIsOut() {
-        log.out(true);
+    void shouldRefuseImmediatelyWhenTheLogIsUnavailable() {
+        log.setUnavailable(true);
         long before = ControlThread.nowMillis();
 
         HttpResponse<String> answer = first.call(charge(first, "order-3"));
@@ -136,23 +138,23 @@
     }
 
     @Test
-    void shouldRefuseWhenTheKeyComesWithAnotherBody() {
+    void shouldRefuseWhenTheKeyIsReusedWithAnotherBody() {
         first.call(charge(first, "order-4"));
-        HttpRequest.Builder other =
+        HttpRequest.Builder requestWithAnotherBody =
                 first.request("/v1/services/charges/charge")
                         .POST(HttpRequest.BodyPublishers.ofString("13 dollars"))
                         .header("Idempotency-Key", "order-4");
 
-        assertThat(first.call(other).statusCode()).isEqualTo(422);
+        assertThat(first.call(requestWithAnotherBody).statusCode()).isEqualTo(422);
         assertThat(runs.get()).isEqualTo(1);
     }
 
     @Test
     void shouldRefuseWhenTheKeyIsOlderThanTheWindow() {
-        HttpRequest.Builder old =
+        HttpRequest.Builder requestWithExpiredKey =
                 charge(first, "order-5").header("Idempotency-Key-Created", "2020-01-01T00:00:00Z");
 
-        assertThat(first.call(old).body()).contains("KEY_EXPIRED");
+        assertThat(first.call(requestWithExpiredKey).body()).contains("KEY_EXPIRED");
         assertThat(runs.get()).isEqualTo(0);
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/CallerHandlerTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/CallerHandlerTest.java
@@ -47,7 +47,7 @@
     }
 
     @Nested
-    class BadInput {
+    class InvalidRequests {
         @Test
         void shouldRefuseWhenTheKeyIsWrong() {
             assertRefused(
@@ -95,18 +95,21 @@
             assertRefused(entry.request("/v1/completions").GET(), ErrorCode.METHOD_NOT_ALLOWED);
         }
 
-        // The caller sends its head and half of its body and then nothing: it is told so, and its
-        // connection is closed, so that it holds nothing.
+        // A caller that sends the head and only a part of the body must get a timeout error and
+        // have its connection closed, so that it does not occupy resources.
         @Test
-        void shouldAnswerAndCloseWhenABodyDoesNotArriveInTime() throws Exception {
-            CallerHandler hasty =
+        void shouldAnswerTimeoutAndCloseTheConnectionWhenTheBodyIsLate() throws Exception {
+            CallerHandler shortTimeoutHandler =
                     CallerHandler.of(
                             entry.configuration,
                             entry.role.services(),
                             AccountRates.empty(),
                             new CallerHandler.CallerLimits(1_000, 10, 100));
             try (HttpFront front =
-                            HttpFront.start(new InetSocketAddress("127.0.0.1", 0), 10, hasty);
+                            HttpFront.start(
+                                    new InetSocketAddress("127.0.0.1", 0),
+                                    10,
+                                    shortTimeoutHandler);
                     Socket caller = new Socket("127.0.0.1", front.address().getPort())) {
                 String head =
                         "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
@@ -121,23 +124,23 @@
             }
         }
 
-        // More connections than are allowed, each with a request: the others go on being served.
+        // Requests on connections over the limit are refused; those within the limit are served.
         @Test
         void shouldRefuseConnectionsOverTheLimitAndServeTheRest() throws Exception {
-            List<Socket> flood = new ArrayList<>();
+            List<Socket> sockets = new ArrayList<>();
             for (int count = 0; count < 40; count++) {
                 Socket socket = new Socket("127.0.0.1", entry.front.address().getPort());
                 socket.getOutputStream()
                         .write(
                                 "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n"
                                         .getBytes(StandardCharsets.US_ASCII));
-                flood.add(socket);
+                sockets.add(socket);
             }
             List<String> firstLines = new ArrayList<>();
-            for (Socket socket : flood) {
+            for (Socket socket : sockets) {
                 firstLines.add(new String(socket.getInputStream().readNBytes(12)));
             }
-            for (Socket socket : flood) {
+            for (Socket socket : sockets) {
                 socket.close();
             }
 
@@ -152,7 +155,7 @@
     @Nested
     class Refusals {
         @Test
-        void shouldSayNotRunWithATimeWhenNothingServesTheModel() {
+        void shouldAnswerNotRunWithRetryAfterWhenNoTargetServesTheModel() {
             HttpResponse<String> answer = entry.call(entry.completion(""));
 
             assertThat(answer.statusCode()).isEqualTo(503);
@@ -161,56 +164,64 @@
         }
 
         @Test
-        void shouldGoElsewhereWhenATargetRefuses() {
+        void shouldTryAnotherTargetWhenATargetRefuses() {
             FakeTarget refusing = entry.target("engine-1");
             FakeTarget serving = entry.target("engine-2");
-            refusing.behave((c, submit) -> refusing.refuse(c, submit, ErrorCode.OVERLOADED));
-            serving.behave((c, submit) -> serving.whole(c, submit, "here"));
-            entry.join(refusing, serving);
+            refusing.setBehaviour(
+                    (connection, submit) ->
+                            refusing.sendRefused(connection, submit, ErrorCode.OVERLOADED));
+            serving.setBehaviour(
+                    (connection, submit) -> serving.sendWholeAnswer(connection, submit, "here"));
+            entry.addTargets(refusing, serving);
 
             IntStream.range(0, 8)
                     .forEach(
-                            any ->
+                            index ->
                                     assertThat(entry.call(entry.completion("")).body())
                                             .isEqualTo("here"));
         }
 
         @Test
-        void shouldPassTheReasonOnWhenEveryTargetRefuses() {
+        void shouldForwardTheErrorCodeWhenEveryTargetRefuses() {
             FakeTarget refusing = entry.target("engine-1");
-            refusing.behave((c, submit) -> refusing.refuse(c, submit, ErrorCode.CANNOT_MEET_CLASS));
-            entry.join(refusing);
+            refusing.setBehaviour(
+                    (connection, submit) ->
+                            refusing.sendRefused(connection, submit, ErrorCode.CANNOT_MEET_CLASS));
+            entry.addTargets(refusing);
 
             assertRefused(entry.completion(""), ErrorCode.CANNOT_MEET_CLASS);
         }
 
         @Test
-        void shouldHoldAnAccountToItsRate() {
-            HttpRequest.Builder slow =
+        void shouldRefuseWhenTheAccountExceedsItsRate() {
+            HttpRequest.Builder limitedRequest =
                     entry.request("/v1/services/charges/x")
                             .GET()
                             .setHeader("Authorization", "Bearer " + EntryFixture.OTHER_KEY);
-            entry.call(slow);
+            entry.call(limitedRequest);
 
-            assertRefused(slow, ErrorCode.ACCOUNT_LIMIT);
+            assertRefused(limitedRequest, ErrorCode.ACCOUNT_LIMIT);
         }
     }
 
     @Nested
     class Leaving {
-        // The target's daemon was told to stop and says so; requests already sent there are
-        // finished, and from then on nothing new goes there.
+        // A target daemon that is being stopped announces that it is leaving. It finishes the
+        // requests it already has and must get no new ones.
         @Test
-        void shouldSendNothingMoreWhenATargetAnnouncesThatItLeaves() throws Exception {
+        void shouldSendNoRequestsToATargetWhenItAnnouncedThatItIsLeaving() throws Exception {
             FakeTarget leaving = entry.target("engine-1");
             FakeTarget staying = entry.target("engine-2");
-            staying.behave((c, submit) -> staying.whole(c, submit, "x"));
-            entry.join(leaving, staying);
-            leaving.takeOpened().send(new Message.Leaving(TargetId.of("engine-1")));
+            staying.setBehaviour(
+                    (connection, submit) -> staying.sendWholeAnswer(connection, submit, "x"));
+            entry.addTargets(leaving, staying);
+            leaving.takeConnection().send(new Message.Leaving(TargetId.of("engine-1")));
             EntryFixture.await(
-                    () -> entry.onControl(() -> entry.role.accepts("engine-1") ? 1 : 0) == 0);
+                    () ->
+                            entry.callOnControlThread(() -> entry.role.accepts("engine-1") ? 1 : 0)
+                                    == 0);
 
-            IntStream.range(0, 20).forEach(any -> entry.call(entry.completion("")));
+            IntStream.range(0, 20).forEach(index -> entry.call(entry.completion("")));
 
             assertThat(leaving.pollSubmit(50)).isEmpty();
         }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/DrainTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/DrainTest.java
@@ -15,7 +15,7 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogStream;
 
-/** Point 7: a planned stop of an entry daemon cuts nothing. */
+/** Tests that a planned stop of an entry daemon truncates no answers. */
 @Timeout(60)
 class DrainTest {
     private EntryFixture entry;
@@ -25,7 +25,7 @@
     void start() {
         entry = EntryFixture.start();
         target = entry.target("engine-1");
-        entry.join(target);
+        entry.addTargets(target);
     }
 
     @AfterEach
@@ -37,24 +37,25 @@
         return CompletableFuture.supplyAsync(entry.role::drain);
     }
 
-    // A stream is in progress when the daemon is told to stop. Readiness fails at once, a request
-    // that the balancer still sends is served, and the stream goes on to its end.
+    // A stream is in progress when the drain begins. Readiness must fail immediately, requests that
+    // the load balancer still sends must be served, and the stream must complete.
     @Test
-    void shouldFinishAStreamAndServeLateRequestsWhenDraining() throws Exception {
+    void shouldFinishStreamsAndServeLateRequestsWhenDraining() throws Exception {
         CompletableFuture<HttpResponse<String>> stream =
                 entry.send(entry.completion(",\"stream\":true"));
-        FakeTarget.Arrived arrived = target.takeSubmit();
-        target.start(arrived.connection(), arrived.submit(), "text/event-stream");
-        target.chunk(arrived.connection(), arrived.submit(), 0, "data: 1\n\n");
+        FakeTarget.ReceivedSubmit arrived = target.takeSubmit();
+        target.sendStarted(arrived.connection(), arrived.submit(), "text/event-stream");
+        target.sendChunk(arrived.connection(), arrived.submit(), 0, "data: 1\n\n");
 
-        target.behave((connection, submit) -> target.whole(connection, submit, "late"));
+        target.setBehaviour(
+                (connection, submit) -> target.sendWholeAnswer(connection, submit, "late"));
         CompletableFuture<Boolean> drained = drain();
         EntryFixture.await(() -> !entry.role.ready());
         assertThat(entry.call(entry.request("/readyz").GET()).statusCode()).isEqualTo(503);
         assertThat(entry.call(entry.completion("")).body()).isEqualTo("late");
         EntryFixture.await(() -> entry.call(entry.completion("")).body().contains("LEAVING"));
-        target.chunk(arrived.connection(), arrived.submit(), 1, "data: [DONE]\n\n");
-        target.finish(arrived.connection(), arrived.submit(), 2);
+        target.sendChunk(arrived.connection(), arrived.submit(), 1, "data: [DONE]\n\n");
+        target.sendFinished(arrived.connection(), arrived.submit(), 2);
 
         assertThat(stream.get(10, TimeUnit.SECONDS).body())
                 .isEqualTo("data: 1\n\ndata: [DONE]\n\n");
@@ -66,14 +67,15 @@
                 .isTrue();
     }
 
-    // The stream's head is sent while the daemon drains, on a connection that will be closed after
-    // it; then the target dies. Marked by the close alone, the part would look whole.
+    // The head of the stream is sent during the drain, on a connection that is closed after the
+    // answer; then the target disconnects. If only the close marked the end of the body, the
+    // truncated stream would appear complete.
     @Test
-    void shouldBreakAStreamOffWhenItsTargetDiesDuringTheDrain() throws Exception {
-        target.behave(
+    void shouldAbortTheStreamWhenItsTargetDisconnectsDuringTheDrain() throws Exception {
+        target.setBehaviour(
                 (connection, submit) -> {
-                    target.start(connection, submit, "text/event-stream");
-                    target.chunk(connection, submit, 0, "data: 1\n\n");
+                    target.sendStarted(connection, submit, "text/event-stream");
+                    target.sendChunk(connection, submit, 0, "data: 1\n\n");
                     connection.close();
                 });
         CompletableFuture<Boolean> drained = drain();
@@ -88,24 +90,24 @@
         assertThat(drained.get(10, TimeUnit.SECONDS)).isTrue();
     }
 
-    // The log is out when the daemon stops: answers are finished all the same.
+    // An unavailable log must not keep a draining daemon from completing answers.
     @Test
-    void shouldFinishWhatIsInProgressWhenTheLogIsOut() throws Exception {
+    void shouldFinishRequestsInProgressWhenTheLogIsUnavailable() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = entry.send(entry.completion(""));
-        FakeTarget.Arrived arrived = target.takeSubmit();
-        entry.log.out(true);
+        FakeTarget.ReceivedSubmit arrived = target.takeSubmit();
+        entry.log.setUnavailable(true);
         CompletableFuture<Boolean> drained = drain();
         EntryFixture.await(() -> !entry.role.ready());
-        target.whole(arrived.connection(), arrived.submit(), "whole");
+        target.sendWholeAnswer(arrived.connection(), arrived.submit(), "whole");
 
         assertThat(answer.get(10, TimeUnit.SECONDS).body()).isEqualTo("whole");
         assertThat(drained.get(10, TimeUnit.SECONDS)).isTrue();
     }
 
-    // The engine never ends. At the time limit the caller gets its word, and the daemon reports
-    // that something was cut.
+    // The engine never completes the answer. When the drain times out, the caller must get an error
+    // and the drain must report that a request was abandoned.
     @Test
-    void shouldReportACutWhenTheTimeForThePlannedStopPasses() throws Exception {
+    void shouldReportAbandonedRequestsWhenTheDrainTimesOut() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = entry.send(entry.completion(""));
         target.takeSubmit();
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
@@ -45,16 +45,16 @@
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.UndertowHttpCaller;
 
-/** An entry role with a real HTTP server and real connections, and a log in memory. */
+/** An entry role with a real HTTP server, real connections and an in-memory log. */
 final class EntryFixture implements AutoCloseable {
     static final String KEY = "andina-key";
     static final String OTHER_KEY = "ktima-key";
     static final ModelId MODEL = ModelId.of("approval");
     static final RequestClassId CLASS = RequestClassId.of("interactive");
     private static final String SECRET = "only-for-this-test";
-    private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
+    private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
 
-    final MemoryLog log;
+    final InMemoryLogClient log;
     final FrameTransport transport = XnioFrameTransport.of(SECRET);
     final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     final ConfigurationSource configuration;
@@ -65,9 +65,9 @@
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    private EntryFixture(MemoryLog log, String name, Configuration configuration) {
+    private EntryFixture(InMemoryLogClient log, String name, Configuration configuration) {
         this.log = log;
-        this.configuration = new Fixed(configuration);
+        this.configuration = new FixedConfiguration(configuration);
         DaemonRuntime runtime =
                 new DaemonRuntime(
                         settings(),
@@ -82,14 +82,16 @@
         role = EntryRole.start(runtime, RoutingKind.ESTIMATED_WAIT, PlacementKind.LRU);
         front =
                 HttpFront.start(
-                        ANY, 20, OperationsHandler.of(metrics, role::ready, role.callers()));
+                        ANY_PORT,
+                        20,
+                        OperationsHandler.of(metrics, role::ready, role.callerHandler()));
     }
 
     static EntryFixture start() {
-        return start(new MemoryLog(), "entry-1", 5_000);
+        return start(new InMemoryLogClient(), "entry-1", 5_000);
     }
 
-    static EntryFixture start(MemoryLog log, String name, long totalMillis) {
+    static EntryFixture start(InMemoryLogClient log, String name, long totalMillis) {
         return new EntryFixture(log, name, configuration(totalMillis));
     }
 
@@ -99,9 +101,9 @@
                 HostId.of("entry-host"),
                 DataCentreId.of("quito-1"),
                 Optional.empty(),
-                ANY,
-                ANY,
-                ANY,
+                ANY_PORT,
+                ANY_PORT,
+                ANY_PORT,
                 Optional.empty(),
                 List.of(),
                 SECRET,
@@ -112,7 +114,7 @@
                 20);
     }
 
-    private record Fixed(Configuration configuration) implements ConfigurationSource {
+    private record FixedConfiguration(Configuration configuration) implements ConfigurationSource {
         @Override
         public Optional<Versioned> current() {
             return Optional.of(new Versioned(0, "{}", configuration));
@@ -156,17 +158,17 @@
     }
 
     private static Configuration.Target target(String name, ServiceId charges) {
-        boolean engine = name.startsWith("engine");
+        boolean isEngine = name.startsWith("engine");
         return new Configuration.Target(
                 TargetId.of(name),
-                engine ? Configuration.TargetKind.ENGINE : Configuration.TargetKind.SERVICE,
+                isEngine ? Configuration.TargetKind.ENGINE : Configuration.TargetKind.SERVICE,
                 HostId.of("host-" + name),
                 DataCentreId.of("quito-1"),
                 "127.0.0.1:1",
                 8,
                 List.of(),
                 true,
-                engine ? Optional.empty() : Optional.of(charges));
+                isEngine ? Optional.empty() : Optional.of(charges));
     }
 
     private static Map<ClientAccountId, Configuration.ClientAccount> accounts(ServiceId charges) {
@@ -199,33 +201,34 @@
         return new FakeTarget(transport, name, List.of(MODEL));
     }
 
-    /** Makes a target known and waits until this daemon may send it work. */
-    void join(FakeTarget... targets) {
-        Arrays.stream(targets).forEach(target -> target.own(log));
-        await(() -> role.inProgress() == 0 && connected() >= targets.length);
+    /** Announces targets and waits until the entry daemon has received their load reports. */
+    void addTargets(FakeTarget... targets) {
+        Arrays.stream(targets).forEach(target -> target.announceOwnership(log));
+        await(() -> role.inProgress() == 0 && connectedTargets() >= targets.length);
     }
 
-    private int connected() {
-        return onControl(() -> role.targets().targets().size());
+    private int connectedTargets() {
+        return callOnControlThread(() -> role.targets().targets().size());
     }
 
-    int onControl(java.util.function.IntSupplier supplier) {
-        CompletableFuture<Integer> found = new CompletableFuture<>();
-        control.post(() -> found.complete(supplier.getAsInt()));
-        return found.orTimeout(10, TimeUnit.SECONDS).join();
+    int callOnControlThread(java.util.function.IntSupplier supplier) {
+        CompletableFuture<Integer> result = new CompletableFuture<>();
+        control.post(() -> result.complete(supplier.getAsInt()));
+        return result.orTimeout(10, TimeUnit.SECONDS).join();
     }
 
     static void await(java.util.function.BooleanSupplier condition) {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadline) {
-                throw TamaracktrackException.of(ErrorCode.INTERNAL, "waited in vain");
+                throw TamaracktrackException.of(
+                        ErrorCode.INTERNAL, "condition was not met within 10 s");
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
 
-    double events(String event) {
+    double eventCount(String event) {
         return Optional.ofNullable(
                         metrics.find("tamaracktrack.entry.events").tag("event", event).counter())
                 .map(counter -> counter.count())
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryRoleTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryRoleTest.java
@@ -27,10 +27,12 @@
     @Nested
     class Answers {
         @Test
-        void shouldPassTheAnswerOnWithItsLengthWhenItIsWhole() {
+        void shouldForwardTheAnswerWithItsLengthWhenItIsNotStreamed() {
             FakeTarget target = entry.target("engine-1");
-            target.behave((connection, submit) -> target.whole(connection, submit, "{\"a\":1}"));
-            entry.join(target);
+            target.setBehaviour(
+                    (connection, submit) ->
+                            target.sendWholeAnswer(connection, submit, "{\"a\":1}"));
+            entry.addTargets(target);
 
             HttpResponse<String> answer = entry.call(entry.completion(""));
 
@@ -40,16 +42,16 @@
         }
 
         @Test
-        void shouldPassEventsOnWhenTheCallerAsksForAStream() {
+        void shouldForwardEventsWhenTheCallerRequestsAStream() {
             FakeTarget target = entry.target("engine-1");
-            target.behave(
+            target.setBehaviour(
                     (connection, submit) -> {
-                        target.start(connection, submit, "text/event-stream");
-                        target.chunk(connection, submit, 0, "data: 1\n\n");
-                        target.chunk(connection, submit, 1, "data: [DONE]\n\n");
-                        target.finish(connection, submit, 2);
+                        target.sendStarted(connection, submit, "text/event-stream");
+                        target.sendChunk(connection, submit, 0, "data: 1\n\n");
+                        target.sendChunk(connection, submit, 1, "data: [DONE]\n\n");
+                        target.sendFinished(connection, submit, 2);
                     });
-            entry.join(target);
+            entry.addTargets(target);
 
             HttpResponse<String> answer = entry.call(entry.completion(",\"stream\":true"));
 
@@ -69,14 +71,15 @@
         @Test
         void shouldKeepMethodPathQueryAndBodyWhenAServiceIsCalled() throws Exception {
             FakeTarget target = entry.target("service-1");
-            target.behave((connection, submit) -> target.whole(connection, submit, "ok"));
-            entry.join(target);
+            target.setBehaviour(
+                    (connection, submit) -> target.sendWholeAnswer(connection, submit, "ok"));
+            entry.addTargets(target);
 
             entry.call(
                     entry.request("/v1/services/charges/orders/a%20b?x=1&y=%2F")
                             .method("PATCH", HttpRequest.BodyPublishers.ofString("body")));
 
-            FakeTarget.Arrived arrived = target.takeSubmit();
+            FakeTarget.ReceivedSubmit arrived = target.takeSubmit();
             assertThat(arrived.submit().method()).isEqualTo("PATCH");
             assertThat(arrived.submit().path()).isEqualTo("/orders/a%20b?x=1&y=%2F");
             assertThat(new String(arrived.submit().body())).isEqualTo("body");
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/FakeTarget.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/FakeTarget.java
@@ -23,40 +23,40 @@
 import org.tamaracktrack.link.frame.ConnectionHandler;
 import org.tamaracktrack.link.frame.FrameTransport;
 
-/** A target daemon at the other end of a real connection; the test decides what it answers. */
+/** A target daemon on a real connection, whose answers are set by the test. */
 final class FakeTarget implements ConnectionHandler {
     private static final AtomicLong SEQUENCE = new AtomicLong();
 
     private final TargetId target;
     private final IncarnationId incarnation;
-    private final List<ModelId> resident;
+    private final List<ModelId> residentModels;
     private final InetSocketAddress address;
-    private final BlockingQueue<Arrived> submits = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Message> others = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Connection> opened = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedSubmit> receivedSubmits = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Message> otherMessages = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Connection> openedConnections = new LinkedBlockingQueue<>();
     private volatile Behaviour behaviour = (connection, submit) -> {};
 
-    /** What a target does with an attempt. */
+    /** Answers an attempt. */
     interface Behaviour {
         void answer(Connection connection, Message.Submit submit);
     }
 
-    /** An attempt as it arrived. */
-    record Arrived(Connection connection, Message.Submit submit) {}
+    /** A submit message with the connection on which it arrived. */
+    record ReceivedSubmit(Connection connection, Message.Submit submit) {}
 
-    FakeTarget(FrameTransport transport, String name, List<ModelId> resident) {
+    FakeTarget(FrameTransport transport, String name, List<ModelId> residentModels) {
         this.target = TargetId.of(name);
         this.incarnation = IncarnationId.of("target-" + name + "-" + SEQUENCE.get());
-        this.resident = resident;
+        this.residentModels = residentModels;
         this.address = transport.listen(new InetSocketAddress("127.0.0.1", 0), this);
     }
 
-    FakeTarget behave(Behaviour newBehaviour) {
+    FakeTarget setBehaviour(Behaviour newBehaviour) {
         behaviour = newBehaviour;
         return this;
     }
 
-    void own(MemoryLog log) {
+    void announceOwnership(InMemoryLogClient log) {
         log.append(
                 LogStream.OWNERSHIP,
                 new LogEntry.OwnershipTaken(
@@ -76,55 +76,57 @@
                 0,
                 0,
                 Map.of(),
-                resident,
+                residentModels,
                 List.of(),
                 List.of());
     }
 
-    Arrived takeSubmit() throws InterruptedException {
-        return Optional.ofNullable(submits.poll(10, TimeUnit.SECONDS)).orElseThrow();
+    ReceivedSubmit takeSubmit() throws InterruptedException {
+        return Optional.ofNullable(receivedSubmits.poll(10, TimeUnit.SECONDS)).orElseThrow();
     }
 
-    Optional<Arrived> pollSubmit(long millis) throws InterruptedException {
-        return Optional.ofNullable(submits.poll(millis, TimeUnit.MILLISECONDS));
+    Optional<ReceivedSubmit> pollSubmit(long millis) throws InterruptedException {
+        return Optional.ofNullable(receivedSubmits.poll(millis, TimeUnit.MILLISECONDS));
     }
 
-    Connection takeOpened() throws InterruptedException {
-        return Optional.ofNullable(opened.poll(10, TimeUnit.SECONDS)).orElseThrow();
+    Connection takeConnection() throws InterruptedException {
+        return Optional.ofNullable(openedConnections.poll(10, TimeUnit.SECONDS)).orElseThrow();
     }
 
-    <T extends Message> T takeOther(Class<T> type) throws InterruptedException {
+    <T extends Message> T takeMessage(Class<T> type) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (System.nanoTime() < deadline) {
-            Message next = others.poll(10, TimeUnit.SECONDS);
+            Message next = otherMessages.poll(10, TimeUnit.SECONDS);
             if (type.isInstance(next)) {
                 return type.cast(next);
             }
         }
-        throw TamaracktrackException.of(ErrorCode.INTERNAL, "no " + type.getSimpleName());
+        throw TamaracktrackException.of(
+                ErrorCode.INTERNAL,
+                "timed out after 10 s waiting for a message of type " + type.getSimpleName());
     }
 
-    void whole(Connection connection, Message.Submit submit, String body) {
-        start(connection, submit, "application/json");
-        chunk(connection, submit, 0, body);
-        finish(connection, submit, 1);
+    void sendWholeAnswer(Connection connection, Message.Submit submit, String body) {
+        sendStarted(connection, submit, "application/json");
+        sendChunk(connection, submit, 0, body);
+        sendFinished(connection, submit, 1);
     }
 
-    void start(Connection connection, Message.Submit submit, String type) {
+    void sendStarted(Connection connection, Message.Submit submit, String type) {
         connection.send(new Message.Started(submit.attempt(), 200, Map.of("content-type", type)));
     }
 
-    void chunk(Connection connection, Message.Submit submit, int sequence, String text) {
+    void sendChunk(Connection connection, Message.Submit submit, int sequence, String text) {
         connection.send(
                 new Message.Chunk(
                         submit.attempt(), sequence, text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    void finish(Connection connection, Message.Submit submit, int chunks) {
+    void sendFinished(Connection connection, Message.Submit submit, int chunks) {
         connection.send(new Message.Finished(submit.attempt(), chunks, 3, 5, 1, load(false)));
     }
 
-    void refuse(Connection connection, Message.Submit submit, ErrorCode code) {
+    void sendRefused(Connection connection, Message.Submit submit, ErrorCode code) {
         connection.send(
                 new Message.Refused(submit.attempt(), code, 700, load(code == ErrorCode.LEAVING)));
     }
@@ -133,19 +135,19 @@
     public void onOpen(Connection connection) {
         connection.send(new Message.Hello(incarnation, "target", Optional.of(target), 0));
         connection.send(new Message.LoadReport(load(false)));
-        opened.add(connection);
+        openedConnections.add(connection);
     }
 
     @Override
     public void onMessage(Connection connection, Message message) {
         if (message instanceof Message.Submit submit) {
-            Behaviour inForce = behaviour;
-            submits.add(new Arrived(connection, submit));
-            inForce.answer(connection, submit);
+            Behaviour currentBehaviour = behaviour;
+            receivedSubmits.add(new ReceivedSubmit(connection, submit));
+            currentBehaviour.answer(connection, submit);
         } else if (message instanceof Message.LoadQuery) {
             connection.send(new Message.LoadReport(load(false)));
         } else {
-            others.add(message);
+            otherMessages.add(message);
         }
     }
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/MemoryLog.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/InMemoryLogClient.java
@@ -12,18 +12,18 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** The log in memory, which can be out and can lose answers. */
-final class MemoryLog implements LogClient {
+/** An in-memory log that a test can make unavailable or let lose the answers to appends. */
+final class InMemoryLogClient implements LogClient {
     private final Map<LogStream, List<LogRecord>> streams = new EnumMap<>(LogStream.class);
-    private boolean out;
+    private boolean unavailable;
     private int answersToLose;
 
-    synchronized void out(boolean newOut) {
-        out = newOut;
+    synchronized void setUnavailable(boolean newUnavailable) {
+        unavailable = newUnavailable;
         notifyAll();
     }
 
-    synchronized void loseAnswers(int count) {
+    synchronized void loseNextAnswers(int count) {
         answersToLose = count;
     }
 
@@ -37,21 +37,24 @@
 
     @Override
     public synchronized Appended append(LogStream stream, LogEntry entry) {
-        failWhenOut();
+        failWhenUnavailable();
         List<LogRecord> records = records(stream);
         LogRecord record = LogRecord.of(records.size(), System.currentTimeMillis(), entry);
         records.add(record);
         notifyAll();
         if (answersToLose > 0) {
             answersToLose--;
-            throw TamaracktrackException.of(ErrorCode.LOG_OUTCOME_UNKNOWN, "answer lost");
+            throw TamaracktrackException.of(
+                    ErrorCode.LOG_OUTCOME_UNKNOWN,
+                    "the answer to the append is dropped by the test");
         }
         return new Appended(record.offset(), record.appendedAtMillis());
     }
 
-    private void failWhenOut() {
-        if (out) {
-            throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "outage");
+    private void failWhenUnavailable() {
+        if (unavailable) {
+            throw TamaracktrackException.of(
+                    ErrorCode.LOG_UNAVAILABLE, "the log is set unavailable by the test");
         }
     }
 
@@ -59,11 +62,11 @@
     public synchronized Batch read(LogStream stream, long from, int maximum, long waitMillis) {
         List<LogRecord> records = records(stream);
         try {
-            failWhenOut();
+            failWhenUnavailable();
             if (records.size() <= from) {
                 wait(Math.max(1, waitMillis));
             }
-            failWhenOut();
+            failWhenUnavailable();
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/RequestRunnerTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/RequestRunnerTest.java
@@ -25,33 +25,36 @@
 import org.tamaracktrack.daemon.counters.Counters;
 import org.tamaracktrack.link.frame.Connection;
 
-/** What a request is reported as, with a channel that does everything at once. */
+/** Tests the outcome counted for a request, with a channel that runs everything synchronously. */
 class RequestRunnerTest {
     private static final TargetId TARGET = TargetId.of("engine-1");
     private static final byte[] PART = "data: 1\n\n".getBytes(StandardCharsets.UTF_8);
 
     private final Counters counters = Counters.empty();
-    private final AtOnce channel = new AtOnce();
-    private final Services services = new Services();
+    private final ImmediateChannel channel = new ImmediateChannel();
+    private final FakeServices services = new FakeServices();
 
-    private final class Services implements RequestServices {
+    private final class FakeServices implements RequestServices {
         private final EntryMetrics metrics = EntryMetrics.of(new SimpleMeterRegistry(), counters);
-        private final RetryPolicy rule = RetryPolicy.of(RetryBudget.of(0));
-        private final Set<RequestRunner> running = ConcurrentHashMap.newKeySet();
+        private final RetryPolicy retryPolicy = RetryPolicy.of(RetryBudget.of(0));
+        private final Set<RequestRunner> inProgress = ConcurrentHashMap.newKeySet();
         private final TargetLink link =
                 TargetLink.of(
-                        TARGET, IncarnationId.of("t"), new Taking(), new ConcurrentHashMap<>());
+                        TARGET,
+                        IncarnationId.of("t"),
+                        new AcceptingConnection(),
+                        new ConcurrentHashMap<>());
         private RequestRunner runner;
         private AttemptId attempt;
 
         @Override
-        public AttemptId newRequest() {
+        public AttemptId newFirstAttempt() {
             return AttemptId.of(IncarnationId.of("entry-1"), 1, 0);
         }
 
         @Override
-        public RetryPolicy retryRule() {
-            return rule;
+        public RetryPolicy retryPolicy() {
+            return retryPolicy;
         }
 
         @Override
@@ -61,35 +64,38 @@
 
         @Override
         public Set<RequestRunner> inProgress() {
-            return running;
+            return inProgress;
         }
 
         @Override
         public void route(
-                RoutingQuery query, Set<TargetId> tried, AttemptId routed, RequestRunner routing) {
-            if (routed.attempt() == 0) {
-                runner = routing;
-                attempt = routed;
-                routing.chosen(routed, link);
+                RoutingQuery query,
+                Set<TargetId> tried,
+                AttemptId routedAttempt,
+                RequestRunner routedRunner) {
+            if (routedAttempt.attempt() == 0) {
+                runner = routedRunner;
+                attempt = routedAttempt;
+                routedRunner.targetChosen(routedAttempt, link);
             } else {
-                routing.noTarget(routed, ErrorCode.NO_TARGET, 10);
+                routedRunner.noTarget(routedAttempt, ErrorCode.NO_TARGET, 10);
             }
         }
 
         @Override
-        public void ended(TargetId target) {}
+        public void recordEnded(TargetId target) {}
 
         @Override
-        public void served(TargetId target, long runMillis) {}
+        public void recordServed(TargetId target, long runMillis) {}
 
         @Override
-        public void claim(CallerRequest request, RequestRunner claiming) {}
+        public void claimKey(CallerRequest request, RequestRunner claimingRunner) {}
 
         @Override
-        public void settle(long claim, Ran ran) {}
+        public void settleClaim(long claim, Ran ran) {}
     }
 
-    private static final class Taking implements Connection {
+    private static final class AcceptingConnection implements Connection {
         @Override
         public boolean send(Message message) {
             return true;
@@ -114,11 +120,11 @@
         }
     }
 
-    /** Writes at once unless held back; tasks run at once. */
-    private static final class AtOnce implements CallerChannel {
-        private final Deque<Integer> held = new ArrayDeque<>();
+    /** Runs tasks and reports parts as written synchronously, unless writes are held. */
+    private static final class ImmediateChannel implements CallerChannel {
+        private final Deque<Integer> heldPartSizes = new ArrayDeque<>();
         private Listener listener;
-        private boolean holding;
+        private boolean holdingWrites;
 
         @Override
         public void execute(Runnable task) {
@@ -126,7 +132,7 @@
         }
 
         @Override
-        public void after(long delayMillis, Runnable task) {
+        public void executeAfter(long delayMillis, Runnable task) {
             if (delayMillis < 1_000) {
                 task.run();
             }
@@ -138,56 +144,56 @@
         }
 
         @Override
-        public void whole(int status, Map<String, String> headers, byte[] body) {
-            part(body);
-            end();
+        public void sendWhole(int status, Map<String, String> headers, byte[] body) {
+            sendPart(body);
+            sendEnd();
         }
 
         @Override
-        public void head(int status, Map<String, String> headers) {}
+        public void sendHead(int status, Map<String, String> headers) {}
 
         @Override
-        public void part(byte[] bytes) {
-            if (holding) {
-                held.add(bytes.length);
+        public void sendPart(byte[] bytes) {
+            if (holdingWrites) {
+                heldPartSizes.add(bytes.length);
             } else {
                 listener.onWritten(bytes.length);
             }
         }
 
         @Override
-        public void end() {
-            if (!holding) {
-                listener.onDone();
+        public void sendEnd() {
+            if (!holdingWrites) {
+                listener.onCompleted();
             }
         }
 
         @Override
-        public void error(CallerError error) {
-            listener.onDone();
+        public void sendError(CallerError error) {
+            listener.onCompleted();
         }
 
         @Override
-        public void cut() {
-            gone();
+        public void abort() {
+            disconnect();
         }
 
-        private void gone() {
-            listener.onGone();
-            listener.onDone();
+        private void disconnect() {
+            listener.onDisconnected();
+            listener.onCompleted();
         }
     }
 
-    private void start(boolean stream) {
+    private void start(boolean streaming) {
         Configuration configuration = EntryFixture.configuration(5_000);
         Configuration.ClientAccount account =
                 configuration.accounts().values().stream()
-                        .filter(each -> each.models().contains(EntryFixture.MODEL))
+                        .filter(candidate -> candidate.models().contains(EntryFixture.MODEL))
                         .findFirst()
                         .orElseThrow();
-        String body = "{\"model\":\"approval\",\"prompt\":\"x\",\"stream\":" + stream + "}";
-        CallerHttp http =
-                new CallerHttp(
+        String body = "{\"model\":\"approval\",\"prompt\":\"x\",\"stream\":" + streaming + "}";
+        CallerHttpRequest http =
+                new CallerHttpRequest(
                         "POST",
                         "/v1/completions",
                         "",
@@ -212,24 +218,24 @@
                 .collect(Collectors.toList());
     }
 
-    // The last part was written before the target's last word came, so the channel ends at once,
-    // before the other actions of that word are carried out. The caller has its whole answer, and
-    // the report must say so.
+    // The last part was already written when the target's finished message arrives, so the channel
+    // completes before the other actions for that message are carried out. The caller has the
+    // complete answer, so the request must count as served.
     @Test
-    void shouldReportServedWhenTheChannelEndsAtOnce() {
+    void shouldReportServedWhenTheChannelCompletesImmediately() {
         start(true);
         finish(1);
 
         assertThat(outcomes()).containsExactly("in_class");
-        assertThat(services.running).isEmpty();
+        assertThat(services.inProgress).isEmpty();
     }
 
-    // The caller read the last event, knows that it is the last, and closes before the target's
-    // last word comes. It was served.
+    // A caller that has read the last event may close its connection before the target's finished
+    // message arrives. It has the complete answer, so the request must count as served.
     @Test
-    void shouldReportServedWhenTheCallerClosesAfterItHasEverything() {
+    void shouldReportServedWhenTheCallerClosesAfterTheLastPart() {
         start(true);
-        channel.gone();
+        channel.disconnect();
         finish(1);
 
         assertThat(outcomes()).containsExactly("in_class");
@@ -239,15 +245,15 @@
     void shouldReportServedWhenTheCallerClosesAfterTheWholeAnswerWasWritten() {
         start(false);
         finish(1);
-        channel.listener.onGone();
+        channel.listener.onDisconnected();
 
         assertThat(outcomes()).containsExactly("in_class");
     }
 
     @Test
-    void shouldReportCancelledWhenTheCallerClosesBeforeItHasEverything() {
+    void shouldReportCancelledWhenTheCallerClosesBeforeTheLastPart() {
         start(true);
-        channel.gone();
+        channel.disconnect();
         services.runner.received(new Message.Chunk(services.attempt, 1, PART));
         finish(2);
 
@@ -256,9 +262,9 @@
 
     @Test
     void shouldReportCancelledWhenPartsWereNotWritten() {
-        channel.holding = true;
+        channel.holdingWrites = true;
         start(true);
-        channel.gone();
+        channel.disconnect();
         finish(1);
 
         assertThat(outcomes()).containsExactly("cancelled");
