--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/Attempt.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/Attempt.java
@@ -19,12 +19,13 @@
 import org.tamaracktrack.link.http.HttpStream;
 
 /**
- * The traffic of one attempt: bytes from the engine or service go to the entry daemon as far as its
- * credit allows. Called by control and by input/output threads; its own lock orders them.
+ * Forwards the answer of one attempt from the engine or plain service to the entry daemon, as far
+ * as the credit granted by the entry daemon allows. Called by the control thread and by
+ * input/output threads, which synchronize on this object.
  */
 final class Attempt implements HttpListener {
-    private static final int LARGEST_CHUNK_BYTES = 64 * 1024;
-    private static final int LARGEST_REFUSAL_BYTES = 64 * 1024;
+    private static final int MAXIMUM_CHUNK_BYTES = 64 * 1024;
+    private static final int MAXIMUM_WITHHELD_BYTES = 64 * 1024;
     private static final int OK = 200;
 
     private final Message.Submit submit;
@@ -32,10 +33,10 @@
     private final long arrivedAtMillis;
     private final AttemptListener listener;
     private final AnswerState answer = AnswerState.waiting();
-    private final TokenUsageParser usage = TokenUsageParser.empty();
-    private final ByteArrayOutputStream refusal = new ByteArrayOutputStream();
+    private final TokenUsageParser tokenUsage = TokenUsageParser.empty();
+    private final ByteArrayOutputStream withheldBody = new ByteArrayOutputStream();
     private Optional<HttpStream> stream = Optional.empty();
-    private Optional<ErrorCode> cancelledWith = Optional.empty();
+    private Optional<ErrorCode> cancellationCode = Optional.empty();
     private Optional<Head> withheldHead = Optional.empty();
     private Map<String, String> headHeaders = Map.of();
     private int headStatus;
@@ -85,23 +86,22 @@
         return arrivedAtMillis + submit.deadlineMillis();
     }
 
-    synchronized void queuedFor(long millis) {
+    synchronized void recordQueuedMillis(long millis) {
         queuedMillis = millis;
     }
 
-    /** Sends the attempt, unless it has ended. */
-    boolean send(Function<HttpListener, HttpStream> call) {
+    /** Sends the attempt to the target and returns true; returns false if it has already ended. */
+    boolean send(Function<HttpListener, HttpStream> openStream) {
         synchronized (this) {
             if (!answer.send()) {
                 return false;
             }
         }
-        HttpStream opened = call.apply(this);
+        HttpStream opened = openStream.apply(this);
         synchronized (this) {
             stream = Optional.of(opened);
-            // A cancel may have come between the claim and the opening; it found no stream to
-            // close.
-            if (cancelledWith.isPresent()) {
+            // A cancellation between answer.send() and this point found no stream to close.
+            if (cancellationCode.isPresent()) {
                 opened.cancel();
             } else if (credit <= 0) {
                 opened.pause();
@@ -110,19 +110,19 @@
         return true;
     }
 
-    // Asked by the thread that is about to write the first byte. The process may have been frozen
-    // since the attempt was started, and its caller answered meanwhile.
+    // Called by the thread that is about to write the first byte. If the process was suspended
+    // after the attempt was started, the caller may already have been answered.
     private boolean isInTime() {
         return ControlThread.nowMillis() < firstTokenByMillis();
     }
 
     synchronized boolean maySend() {
-        return cancelledWith.isEmpty() && isInTime();
+        return cancellationCode.isEmpty() && isInTime();
     }
 
-    /** The caller no longer wants it, or its time is up. */
+    /** Cancels the attempt with an error code. The code of the first cancellation is kept. */
     synchronized void cancel(ErrorCode code) {
-        cancelledWith = cancelledWith.or(() -> Optional.of(code));
+        cancellationCode = cancellationCode.or(() -> Optional.of(code));
         stream.ifPresent(HttpStream::cancel);
     }
 
@@ -139,7 +139,7 @@
         synchronized (this) {
             headStatus = status;
             headHeaders = headers;
-            Head head = new Head(status, AnswerHeaders.passedOn(headers));
+            Head head = new Head(status, AnswerHeaders.forwardable(headers));
             if (submit.kind() == Message.CallKind.MODEL && EngineRefusal.mayBe(status)) {
                 withheldHead = Optional.of(head);
                 return;
@@ -150,52 +150,52 @@
 
     private void sendHead(Head head) {
         if (answer.start()) {
-            deliver(new Message.Started(submit.attempt(), head.status(), head.headers()));
+            sendFrame(new Message.Started(submit.attempt(), head.status(), head.headers()));
         }
     }
 
     @Override
     public void onBytes(byte[] bytes) {
-        boolean first;
+        boolean isFirst;
         synchronized (this) {
-            first = !firstBytesSeen;
+            isFirst = !firstBytesSeen;
             firstBytesSeen = true;
             if (withheldHead.isPresent()) {
                 withhold(bytes);
             } else {
-                pass(bytes);
+                forward(bytes);
             }
         }
-        if (first) {
+        if (isFirst) {
             listener.onFirstBytes(this);
         }
     }
 
     private void withhold(byte[] bytes) {
-        refusal.writeBytes(bytes);
-        if (refusal.size() > LARGEST_REFUSAL_BYTES) {
-            passWithheld();
+        withheldBody.writeBytes(bytes);
+        if (withheldBody.size() > MAXIMUM_WITHHELD_BYTES) {
+            forwardWithheld();
         }
     }
 
-    private void passWithheld() {
+    private void forwardWithheld() {
         withheldHead.ifPresent(this::sendHead);
         withheldHead = Optional.empty();
-        pass(refusal.toByteArray());
+        forward(withheldBody.toByteArray());
     }
 
-    private void pass(byte[] bytes) {
-        usage.add(bytes);
-        IntStream.iterate(0, from -> from < bytes.length, from -> from + LARGEST_CHUNK_BYTES)
+    private void forward(byte[] bytes) {
+        tokenUsage.add(bytes);
+        IntStream.iterate(0, from -> from < bytes.length, from -> from + MAXIMUM_CHUNK_BYTES)
                 .mapToObj(
                         from ->
                                 Arrays.copyOfRange(
                                         bytes,
                                         from,
-                                        Math.min(bytes.length, from + LARGEST_CHUNK_BYTES)))
+                                        Math.min(bytes.length, from + MAXIMUM_CHUNK_BYTES)))
                 .forEach(this::sendChunk);
-        // A caller that reads slowly would have its whole answer pile up in the entry daemon;
-        // reading stops here until it has caught up, and TCP holds the engine back.
+        // Back-pressure: the answer to a slow caller would otherwise accumulate in the entry
+        // daemon. While reading is paused, TCP flow control stops the engine.
         if (credit <= 0) {
             stream.ifPresent(HttpStream::pause);
         }
@@ -205,13 +205,13 @@
         int sequence = answer.nextChunk();
         if (sequence >= 0) {
             credit -= part.length;
-            deliver(new Message.Chunk(submit.attempt(), sequence, part));
+            sendFrame(new Message.Chunk(submit.attempt(), sequence, part));
         }
     }
 
-    // A frame that was not queued is a hole in the answer. The stream ends, so that what follows is
-    // a failure and never the end of a whole answer.
-    private void deliver(Message message) {
+    // A frame that was not queued leaves a gap in the answer. The stream is cancelled, so that the
+    // attempt ends as failed and a truncated answer is never reported as complete.
+    private void sendFrame(Message message) {
         if (!connection.send(message)) {
             cancel(ErrorCode.ANSWER_CUT);
         }
@@ -220,35 +220,35 @@
     @Override
     public void onEnd() {
         Optional<ErrorCode> notRun = Optional.empty();
-        boolean whole;
+        boolean complete;
         synchronized (this) {
             if (withheldHead.isPresent()) {
-                notRun = EngineRefusal.read(headStatus, refusal.toByteArray());
+                notRun = EngineRefusal.read(headStatus, withheldBody.toByteArray());
                 if (notRun.isPresent()) {
                     answer.markNotRun();
                 } else {
-                    passWithheld();
+                    forwardWithheld();
                 }
             }
-            whole = isWhole();
+            complete = isComplete();
         }
         if (notRun.isPresent()) {
             listener.onNotRun(this, notRun.get());
-        } else if (whole) {
-            listener.onWhole(this);
+        } else if (complete) {
+            listener.onComplete(this);
         } else {
             listener.onFailed(this, ErrorCode.ANSWER_CUT, Ran.YES);
         }
     }
 
-    // An engine that dies between two events may close its connection in good order; without the
-    // end mark the answer would look complete to the caller.
-    private boolean isWhole() {
-        boolean events =
+    // An engine that crashes between two events may still close its connection properly. Without
+    // the check for the end marker the answer would look complete to the caller.
+    private boolean isComplete() {
+        boolean isEventStream =
                 headHeaders.getOrDefault("content-type", "").startsWith("text/event-stream");
         boolean needsEndMark =
-                submit.kind() == Message.CallKind.MODEL && headStatus == OK && events;
-        return cancelledWith.isEmpty() && (!needsEndMark || usage.isStreamComplete());
+                submit.kind() == Message.CallKind.MODEL && headStatus == OK && isEventStream;
+        return cancellationCode.isEmpty() && (!needsEndMark || tokenUsage.isStreamComplete());
     }
 
     @Override
@@ -256,7 +256,7 @@
         Optional<ErrorCode> cancelled;
         boolean started;
         synchronized (this) {
-            cancelled = cancelledWith;
+            cancelled = cancellationCode;
             started = headStatus > 0;
             if (failure == HttpFailure.NOT_SENT) {
                 answer.markNotRun();
@@ -287,48 +287,48 @@
         };
     }
 
-    /** Refuses the attempt as not run; false when it has ended already. */
+    /** Refuses the attempt as not run; returns false if it has already ended. */
     synchronized boolean refuse(ErrorCode code, long retryAfterMillis, Message.Load load) {
         if (!answer.refuse()) {
             return false;
         }
-        return sendEnd(new Message.Refused(submit.attempt(), code, retryAfterMillis, load));
+        return sendLastFrame(new Message.Refused(submit.attempt(), code, retryAfterMillis, load));
     }
 
-    /** Ends the attempt as whole; false when it has ended already. */
+    /** Ends the attempt with a complete answer; returns false if it has already ended. */
     synchronized boolean finish(Message.Load load) {
         if (!answer.end()) {
             return false;
         }
-        return sendEnd(
+        return sendLastFrame(
                 new Message.Finished(
                         submit.attempt(),
                         answer.chunks(),
-                        usage.promptTokens(),
-                        usage.answerTokens(),
+                        tokenUsage.promptTokens(),
+                        tokenUsage.answerTokens(),
                         queuedMillis,
                         load));
     }
 
-    /** Ends the attempt as failed; false when it has ended already. */
+    /** Ends the attempt as failed; returns false if it has already ended. */
     synchronized boolean fail(ErrorCode code, Ran ran, Message.Load load) {
         if (!answer.end()) {
             return false;
         }
-        return sendEnd(new Message.Failed(submit.attempt(), code, ran, load));
+        return sendLastFrame(new Message.Failed(submit.attempt(), code, ran, load));
     }
 
-    // Without its last frame the entry daemon would wait until the deadline; a closed connection
-    // tells it at once that the outcome is unknown.
-    private boolean sendEnd(Message message) {
+    // Without the last frame the entry daemon would wait until the deadline. Closing the connection
+    // makes it treat the outcome as unknown immediately.
+    private boolean sendLastFrame(Message message) {
         if (!connection.send(message)) {
             connection.close();
         }
         return true;
     }
 
-    synchronized OptionalInt tokens() {
-        int tokens = usage.promptTokens() + usage.answerTokens();
+    synchronized OptionalInt totalTokens() {
+        int tokens = tokenUsage.promptTokens() + tokenUsage.answerTokens();
         return tokens > 0 ? OptionalInt.of(tokens) : OptionalInt.empty();
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/AttemptListener.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/AttemptListener.java
@@ -3,18 +3,18 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.Ran;
 
-/** Hears how the traffic of attempts goes. Called by input/output threads. */
+/** Receives the events of an attempt's answer. Called by input/output threads. */
 interface AttemptListener {
 
-    /** The first bytes of the answer were seen. */
+    /** Called when the first bytes of the answer have arrived. */
     void onFirstBytes(Attempt attempt);
 
-    /** The answer is whole. */
-    void onWhole(Attempt attempt);
+    /** Called when the answer is complete. */
+    void onComplete(Attempt attempt);
 
-    /** The engine or the service certainly did not run it. */
+    /** Called when the attempt certainly did not run at the engine or plain service. */
     void onNotRun(Attempt attempt, ErrorCode code);
 
-    /** It failed after it may have run. */
+    /** Called when the attempt failed and may have run. */
     void onFailed(Attempt attempt, ErrorCode code, Ran ran);
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/Dispatcher.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/Dispatcher.java
@@ -13,9 +13,9 @@
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCaller;
 
-/** Sends admitted attempts to the engine or the plain service. For the control thread. */
+/** Sends admitted attempts to the engine or plain service. Confined to the control thread. */
 final class Dispatcher {
-    private static final Set<String> OWN =
+    private static final Set<String> OWN_HEADERS =
             Set.of("x-request-id", "x-model", "x-adapter", "x-priority");
 
     private final HttpCaller http;
@@ -36,7 +36,8 @@
     void configure(Configuration configuration, Configuration.Target target) {
         destination =
                 Optional.of(
-                        new Destination(configuration, target, Endpoint.parse(target.endpoint())));
+                        new Destination(
+                                configuration, target, EndpointParser.parse(target.endpoint())));
     }
 
     boolean serves(Message.Submit submit) {
@@ -44,18 +45,18 @@
                 submit.kind() == Message.CallKind.MODEL
                         ? Configuration.TargetKind.ENGINE
                         : Configuration.TargetKind.SERVICE;
-        return destination.map(to -> to.target().kind() == kind).orElse(false);
+        return destination.map(current -> current.target().kind() == kind).orElse(false);
     }
 
     boolean dispatch(Attempt attempt) {
-        Destination to = destination.orElseThrow();
+        Destination current = destination.orElseThrow();
         Message.Submit submit = attempt.submit();
         HttpCall call =
                 new HttpCall(
-                        to.address(),
+                        current.address(),
                         submit.method(),
                         submit.path(),
-                        headers(submit, to.configuration()),
+                        headers(submit, current.configuration()),
                         submit.body(),
                         Math.max(1, attempt.deadlineMillis() - ControlThread.nowMillis()));
         return attempt.send(listener -> http.stream(call, attempt::maySend, listener));
@@ -64,14 +65,17 @@
     private static Map<String, String> headers(Message.Submit submit, Configuration configuration) {
         Map<String, String> headers = new HashMap<>();
         submit.headers().entrySet().stream()
-                .filter(header -> !OWN.contains(header.getKey().toLowerCase(Locale.ROOT)))
+                .filter(header -> !OWN_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT)))
                 .forEach(header -> headers.put(header.getKey(), header.getValue()));
         headers.put("X-Request-Id", submit.attempt().toString());
         if (submit.kind() == Message.CallKind.MODEL) {
             submit.model().ifPresent(model -> headers.put("X-Model", model.value()));
             submit.adapter().ifPresent(adapter -> headers.put("X-Adapter", adapter.value()));
             Optional.ofNullable(configuration.classes().get(submit.requestClass()))
-                    .ifPresent(each -> headers.put("X-Priority", String.valueOf(each.weight())));
+                    .ifPresent(
+                            requestClass ->
+                                    headers.put(
+                                            "X-Priority", String.valueOf(requestClass.weight())));
         }
         return headers;
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/Endpoint.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EndpointParser.java
@@ -4,9 +4,9 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Reads an IP number and port. */
-final class Endpoint {
-    private Endpoint() {}
+/** Parses endpoints of the form IP:PORT. */
+final class EndpointParser {
+    private EndpointParser() {}
 
     static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -16,7 +16,9 @@
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException notAnAddress) {
             throw TamaracktrackException.of(
-                    ErrorCode.INVALID_CONFIGURATION, "not an address: " + text, notAnAddress);
+                    ErrorCode.INVALID_CONFIGURATION,
+                    "endpoint is not an IP address and port: " + text,
+                    notAnAddress);
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineClient.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineClient.java
@@ -19,15 +19,18 @@
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.HttpFailure;
 
-/** Reads an engine's inventory and sends it orders, each on a thread of its own. */
+/**
+ * Reads an engine's inventory and sends it orders. Inventory reads and orders each have a thread of
+ * their own.
+ */
 final class EngineClient implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(EngineClient.class);
     private static final long TIMEOUT_MILLIS = 2_000;
     private static final int OK = 200;
 
     private final HttpCaller http;
-    private final ScheduledExecutorService inventories = thread("engine-inventory");
-    private final ScheduledExecutorService orders = thread("engine-orders");
+    private final ScheduledExecutorService inventories = singleDaemonThread("engine-inventory");
+    private final ScheduledExecutorService orders = singleDaemonThread("engine-orders");
 
     private EngineClient(HttpCaller http) {
         this.http = http;
@@ -38,7 +41,7 @@
         return new EngineClient(http);
     }
 
-    private static ScheduledExecutorService thread(String name) {
+    private static ScheduledExecutorService singleDaemonThread(String name) {
         return Executors.newSingleThreadScheduledExecutor(
                 task -> {
                     Thread thread = new Thread(task, name);
@@ -51,30 +54,31 @@
         return HostTime.of(ControlThread.nowMillis(), System.currentTimeMillis());
     }
 
-    /** An inventory and the moment before it was asked for. */
-    record Reading(EngineInventory inventory, HostTime requestedAt) {}
+    /** An inventory and a time immediately before it was requested. */
+    record InventoryReading(EngineInventory inventory, HostTime requestedAt) {}
 
-    /** Reads the inventory after a delay; the reader hears of it, or the other that it failed. */
+    /** Reads the inventory after a delay and calls one of the two callbacks. */
     void readInventory(
             InetSocketAddress address,
             long delayMillis,
-            Consumer<Reading> reader,
+            Consumer<InventoryReading> onRead,
             Runnable onFailure) {
         if (inventories.isShutdown()) {
             return;
         }
         inventories.schedule(
-                () -> readNow(address, reader, onFailure), delayMillis, TimeUnit.MILLISECONDS);
+                () -> readNow(address, onRead, onFailure), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void readNow(InetSocketAddress address, Consumer<Reading> reader, Runnable onFailure) {
+    private void readNow(
+            InetSocketAddress address, Consumer<InventoryReading> onRead, Runnable onFailure) {
         HostTime requestedAt = now();
         try {
             HttpAnswer answer =
                     http.call(HttpCall.get(address, "/admin/inventory", TIMEOUT_MILLIS));
             if (answer.status() == OK) {
-                reader.accept(
-                        new Reading(
+                onRead.accept(
+                        new InventoryReading(
                                 Codecs.decode(Codecs.json(), answer.body(), EngineInventory.class),
                                 requestedAt));
                 return;
@@ -86,7 +90,7 @@
         onFailure.run();
     }
 
-    /** Sends an order once; whatever the answer, the inventory shows what became of it. */
+    /** Sends an order once. Its outcome is read from the inventory, not from the answer. */
     void send(InetSocketAddress address, OrderAction.Send send, Runnable onNotSent) {
         if (!orders.isShutdown()) {
             orders.execute(() -> sendNow(address, send, onNotSent));
@@ -95,8 +99,8 @@
 
     private void sendNow(InetSocketAddress address, OrderAction.Send send, Runnable onNotSent) {
         byte[] body = Codecs.encode(Codecs.json(), send.order());
-        // The process may have been frozen since the order was decided, and another may own the
-        // target by now; an order this old is given up instead.
+        // The process may have been suspended since the order was decided, and another process may
+        // own the target by now. An order that is too old is therefore not sent.
         if (!send.isTimely(now())) {
             onNotSent.run();
             return;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineKeeper.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineController.java
@@ -39,32 +39,33 @@
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
 /**
- * Keeps one engine's memory as the plan and the waiting requests ask: reads its inventory, decides
- * and carries out what order control allows. State belongs to the control thread.
+ * Keeps the models and adapters in one engine's memory in line with the plan and the waiting
+ * requests: polls the inventory, decides on changes, and sends the orders that the {@link
+ * OrderController} permits. Confined to the control thread.
  */
-final class EngineKeeper implements AutoCloseable {
-    private static final Logger LOG = Logger.getLogger(EngineKeeper.class);
+final class EngineController implements AutoCloseable {
+    private static final Logger LOG = Logger.getLogger(EngineController.class);
     private static final long POLL_MILLIS = 500;
-    private static final long BUSY_POLL_MILLIS = 50;
-    private static final long SILENCE_MILLIS = 3_000;
+    private static final long POLL_WHILE_CHANGING_MILLIS = 50;
+    private static final long UNREADABLE_LIMIT_MILLIS = 3_000;
     private static final String CAUSE_REQUEST = "request";
     private static final String CAUSE_VERSION = "version";
 
     private final TargetId target;
     private final ControlThread control;
     private final EngineClient engine;
-    private final OwnershipLog ownershipLog;
+    private final OwnershipAppender ownershipAppender;
     private final Submissions submissions;
     private final Counters counters;
     private final TargetMeters meters;
     private final OrderController orders;
     private final RetryDelays retryDelays = RetryDelays.empty();
-    private final LoadTimes loadTimes = LoadTimes.empty();
-    private final Strays strays = Strays.empty();
+    private final LoadDurations loadDurations = LoadDurations.empty();
+    private final UnplannedDemand unplannedDemand = UnplannedDemand.empty();
     private Configuration configuration;
     private InetSocketAddress address;
     private long configuredAtMillis;
-    private TargetLoadRateLimiter pace;
+    private TargetLoadRateLimiter loadRateLimiter;
     private Optional<LogEntry.PlanPublished> plan = Optional.empty();
     private Set<ModelId> heldBack = Set.of();
     private Set<Need> ready = Set.of();
@@ -72,23 +73,23 @@
     private Runnable onDeposed = () -> {};
     private boolean logReachable = true;
     private boolean closed;
-    private long heardAtMillis = ControlThread.nowMillis();
+    private long lastInventoryAtMillis = ControlThread.nowMillis();
 
-    private EngineKeeper(
+    private EngineController(
             Configuration configuration,
             Configuration.Target target,
             IncarnationId self,
             long startedAtMillis,
             ControlThread control,
             EngineClient engine,
-            OwnershipLog ownershipLog,
+            OwnershipAppender ownershipAppender,
             Submissions submissions,
             Counters counters,
             TargetMeters meters) {
         this.target = target.id();
         this.control = control;
         this.engine = engine;
-        this.ownershipLog = ownershipLog;
+        this.ownershipAppender = ownershipAppender;
         this.submissions = submissions;
         this.counters = counters;
         this.meters = meters;
@@ -103,33 +104,33 @@
         configure(configuration, target);
     }
 
-    static EngineKeeper start(
+    static EngineController start(
             Configuration configuration,
             Configuration.Target target,
             IncarnationId self,
             long startedAtMillis,
             ControlThread control,
             EngineClient engine,
-            OwnershipLog ownershipLog,
+            OwnershipAppender ownershipAppender,
             Submissions submissions,
             Counters counters,
             TargetMeters meters) {
         Objects.requireNonNull(configuration, "configuration is null");
-        EngineKeeper keeper =
-                new EngineKeeper(
+        EngineController controller =
+                new EngineController(
                         configuration,
                         target,
                         self,
                         startedAtMillis,
                         control,
                         engine,
-                        ownershipLog,
+                        ownershipAppender,
                         submissions,
                         counters,
                         meters);
-        submissions.onUnmetNeed(keeper::round);
-        keeper.poll(0);
-        return keeper;
+        submissions.onUnmetNeed(controller::reconcile);
+        controller.poll(0);
+        return controller;
     }
 
     void onReadyChanged(Runnable listener) {
@@ -140,28 +141,28 @@
         onDeposed = listener;
     }
 
-    void configure(Configuration now, Configuration.Target nowTarget) {
-        configuration = now;
+    void configure(Configuration newConfiguration, Configuration.Target newTarget) {
+        configuration = newConfiguration;
         configuredAtMillis = ControlThread.nowMillis();
-        address = Endpoint.parse(nowTarget.endpoint());
-        pace = TargetLoadRateLimiter.of(now, ControlThread.nowMillis());
+        address = EndpointParser.parse(newTarget.endpoint());
+        loadRateLimiter = TargetLoadRateLimiter.of(newConfiguration, ControlThread.nowMillis());
     }
 
-    void plan(LogEntry.PlanPublished now) {
-        plan = Optional.of(now);
-        round();
+    void updatePlan(LogEntry.PlanPublished newPlan) {
+        plan = Optional.of(newPlan);
+        reconcile();
     }
 
-    void record(LogRecord record) {
+    void onRecord(LogRecord record) {
         handle(new OrderMessage.RecordRead(record));
     }
 
-    void recordsMissed() {
+    void onRecordsMissed() {
         handle(new OrderMessage.RecordsMissed());
     }
 
-    void logReachable(boolean now) {
-        logReachable = now;
+    void logReachable(boolean newLogReachable) {
+        logReachable = newLogReachable;
     }
 
     boolean isOwner() {
@@ -172,35 +173,35 @@
         engine.readInventory(
                 address,
                 delayMillis,
-                reading -> control.post(() -> read(reading)),
-                () -> control.post(this::unreadable));
+                reading -> control.post(() -> onInventory(reading)),
+                () -> control.post(this::onInventoryUnreadable));
     }
 
-    private void read(EngineClient.Reading reading) {
-        heardAtMillis = ControlThread.nowMillis();
+    private void onInventory(EngineClient.InventoryReading reading) {
+        lastInventoryAtMillis = ControlThread.nowMillis();
         handle(new OrderMessage.InventoryRead(reading.inventory(), reading.requestedAt()));
-        round();
-        pollAgain();
+        reconcile();
+        scheduleNextPoll();
     }
 
-    private void pollAgain() {
+    private void scheduleNextPoll() {
         if (!closed) {
-            poll(orders.pendingChanges().isEmpty() ? POLL_MILLIS : BUSY_POLL_MILLIS);
+            poll(orders.pendingChanges().isEmpty() ? POLL_MILLIS : POLL_WHILE_CHANGING_MILLIS);
         }
     }
 
-    // An engine that no longer answers must not attract work: a request sent to it would wait for
-    // its deadline where another target could have served it.
-    private void unreadable() {
+    // An engine that no longer answers must not attract requests: a request sent to it would wait
+    // until its deadline, although another target could have served it.
+    private void onInventoryUnreadable() {
         handle(new OrderMessage.Tick());
-        if (ControlThread.nowMillis() - heardAtMillis > SILENCE_MILLIS) {
+        if (ControlThread.nowMillis() - lastInventoryAtMillis > UNREADABLE_LIMIT_MILLIS) {
             publishReady(Set.of());
             submissions
                     .admission()
                     .unmetNeeds()
-                    .forEach(need -> delay(need, AdmissionMessage.NEVER));
+                    .forEach(need -> reportDelay(need, AdmissionMessage.NEVER));
         }
-        pollAgain();
+        scheduleNextPoll();
     }
 
     private void handle(OrderMessage message) {
@@ -212,11 +213,11 @@
             engine.send(address, send, () -> notSent(send.order().orderId()));
         } else if (action instanceof OrderAction.Append append) {
             append(append.entry());
-        } else if (action instanceof OrderAction.Applied moved) {
-            moved(moved.change());
-        } else if (action instanceof OrderAction.NotApplied notMoved) {
-            retryDelays.failed(notMoved.change(), ControlThread.nowMillis());
-            loadTimes.failed(notMoved.change());
+        } else if (action instanceof OrderAction.Applied applied) {
+            onApplied(applied.change());
+        } else if (action instanceof OrderAction.NotApplied notApplied) {
+            retryDelays.failed(notApplied.change(), ControlThread.nowMillis());
+            loadDurations.failed(notApplied.change());
             meters.event("orders.without.effect");
         } else if (action instanceof OrderAction.Contended contended) {
             meters.event("memory.contended");
@@ -235,7 +236,7 @@
     }
 
     private void append(LogEntry entry) {
-        ownershipLog.append(
+        ownershipAppender.append(
                 entry,
                 () -> {
                     if (entry instanceof LogEntry.OrderIntent intent) {
@@ -244,9 +245,9 @@
                 });
     }
 
-    private void moved(ResidencyChange change) {
+    private void onApplied(ResidencyChange change) {
         retryDelays.succeeded(change);
-        loadTimes.done(change, ControlThread.nowMillis());
+        loadDurations.completed(change, ControlThread.nowMillis());
         moveKind(change.kind())
                 .ifPresent(
                         kind ->
@@ -271,48 +272,49 @@
         return MoveKind.of(kind.text());
     }
 
-    private void round() {
+    private void reconcile() {
         if (orders.inventory().isEmpty()) {
             return;
         }
-        long now = ControlThread.nowMillis();
-        noteStrays(now);
-        ResidencyDecision decision = ResidencyPlanner.decide(view(orders.inventory().get()));
+        long nowMillis = ControlThread.nowMillis();
+        recordUnplannedDemand(nowMillis);
+        ResidencyDecision decision =
+                ResidencyPlanner.decide(residencyView(orders.inventory().get()));
         heldBack = decision.heldBack();
         decision.changes().stream()
-                .filter(change -> retryDelays.isDue(change, now))
+                .filter(change -> retryDelays.isDue(change, nowMillis))
                 .filter(change -> !orders.isPending(change))
-                .forEach(change -> order(change, now));
+                .forEach(change -> orderChange(change, nowMillis));
         publishReady(readyNeeds());
-        delayUnmet(decision, now);
+        reportDelays(decision, nowMillis);
     }
 
-    private void noteStrays(long now) {
-        Set<ModelId> wanted =
+    private void recordUnplannedDemand(long nowMillis) {
+        Set<ModelId> requestedModels =
                 submissions.admission().unmetNeeds().stream()
                         .map(Need::model)
                         .filter(this::isPlacedElsewhereOnly)
                         .collect(Collectors.toSet());
-        strays.wanted(wanted, now);
+        unplannedDemand.record(requestedModels, nowMillis);
     }
 
     private boolean isPlacedElsewhereOnly(ModelId model) {
-        List<TargetId> homes =
+        List<TargetId> plannedTargets =
                 plan.stream()
-                        .flatMap(each -> each.placements().stream())
+                        .flatMap(published -> published.placements().stream())
                         .filter(placement -> placement.model().equals(model))
                         .map(LogEntry.Placement::target)
                         .toList();
-        return !homes.isEmpty() && !homes.contains(target);
+        return !plannedTargets.isEmpty() && !plannedTargets.contains(target);
     }
 
-    private Set<Need> needsToMeet(long now) {
+    private Set<Need> loadableNeeds(long nowMillis) {
         return submissions.admission().unmetNeeds().stream()
-                .filter(need -> strays.mayLoad(need.model(), now))
+                .filter(need -> unplannedDemand.mayLoad(need.model(), nowMillis))
                 .collect(Collectors.toCollection(LinkedHashSet::new));
     }
 
-    private ResidencyView view(EngineInventory inventory) {
+    private ResidencyView residencyView(EngineInventory inventory) {
         return new ResidencyView(
                 target,
                 configuration,
@@ -321,52 +323,54 @@
                 inventory,
                 orders.free(),
                 orders.pendingChanges(),
-                needsToMeet(ControlThread.nowMillis()),
+                loadableNeeds(ControlThread.nowMillis()),
                 submissions.inUse(),
-                pace.waitMillis(ControlThread.nowMillis()) == 0,
+                loadRateLimiter.waitMillis(ControlThread.nowMillis()) == 0,
                 submissions.lastUsedMillis());
     }
 
-    private void order(ResidencyChange change, long now) {
-        boolean onItsOwn =
+    private void orderChange(ResidencyChange change, long nowMillis) {
+        boolean isRateLimited =
                 change.cause().equals(CAUSE_REQUEST) || change.cause().equals(CAUSE_VERSION);
-        if (!orders.mayOrder() || (onItsOwn && !mayMoveOnItsOwn(change, now))) {
+        if (!orders.mayOrder() || (isRateLimited && !isAllowedByLoadRate(change, nowMillis))) {
             return;
         }
         handle(new OrderMessage.ChangeRequested(change));
         if (orders.isPending(change)) {
-            loadTimes.ordered(change, now);
+            loadDurations.ordered(change, nowMillis);
         }
     }
 
-    // An unload makes room for a load, so it waits for the pace too: a copy would else be gone long
-    // before its room is used.
-    private boolean mayMoveOnItsOwn(ResidencyChange change, long now) {
-        return change.kind().isLoad() ? pace.tryAcquire(now) : pace.waitMillis(now) == 0;
+    // An unload makes room for a load, so it waits for the load rate limit too. Otherwise a copy
+    // would be unloaded long before its memory is used.
+    private boolean isAllowedByLoadRate(ResidencyChange change, long nowMillis) {
+        return change.kind().isLoad()
+                ? loadRateLimiter.tryAcquire(nowMillis)
+                : loadRateLimiter.waitMillis(nowMillis) == 0;
     }
 
-    private void delayUnmet(ResidencyDecision decision, long now) {
+    private void reportDelays(ResidencyDecision decision, long nowMillis) {
         List.copyOf(submissions.admission().unmetNeeds())
                 .forEach(
                         need ->
-                                delay(
+                                reportDelay(
                                         need,
                                         isBeingLoaded(need)
-                                                ? loadTimes.remainingMillis(need, now)
-                                                : delayMillis(need, decision, now)));
+                                                ? loadDurations.remainingMillis(need, nowMillis)
+                                                : expectedDelayMillis(need, decision, nowMillis)));
     }
 
-    private long delayMillis(Need need, ResidencyDecision decision, long now) {
-        boolean mayNotOrder = !logReachable && !orders.mayOrder();
+    private long expectedDelayMillis(Need need, ResidencyDecision decision, long nowMillis) {
+        boolean cannotOrder = !logReachable && !orders.mayOrder();
         if (decision.unsatisfiable().contains(need)
-                || mayNotOrder
-                || !strays.mayLoad(need.model(), now)) {
+                || cannotOrder
+                || !unplannedDemand.mayLoad(need.model(), nowMillis)) {
             return AdmissionMessage.NEVER;
         }
-        return pace.waitMillis(now) + loadTimes.expectedMillis(need);
+        return loadRateLimiter.waitMillis(nowMillis) + loadDurations.expectedMillis(need);
     }
 
-    private void delay(Need need, long readyInMillis) {
+    private void reportDelay(Need need, long readyInMillis) {
         if (readyInMillis > 0) {
             submissions.handle(new AdmissionMessage.NeedDelayed(need, readyInMillis));
         }
@@ -380,12 +384,12 @@
                         .anyMatch(copy -> !copy.isReady());
     }
 
-    private void publishReady(Set<Need> now) {
-        if (now.equals(ready)) {
+    private void publishReady(Set<Need> newReady) {
+        if (newReady.equals(ready)) {
             return;
         }
-        ready = now;
-        submissions.handle(new AdmissionMessage.ReadyChanged(now));
+        ready = newReady;
+        submissions.handle(new AdmissionMessage.ReadyChanged(newReady));
         onReadyChanged.run();
     }
 
@@ -394,14 +398,14 @@
                 .flatMap(inventory -> inventory.models().stream())
                 .filter(EngineInventory.ModelState::isReady)
                 .filter(copy -> !heldBack.contains(copy.model()))
-                .filter(copy -> !isLeaving(copy))
+                .filter(copy -> !isBeingUnloaded(copy))
                 .flatMap(this::needsMetBy)
                 .collect(Collectors.toSet());
     }
 
-    // From the moment an unload is ordered nothing new starts on the copy, or the engine would
-    // unload under it.
-    private boolean isLeaving(EngineInventory.ModelState copy) {
+    // Once an unload is ordered, no new request may start on the copy, since the engine would
+    // unload it while the request runs.
+    private boolean isBeingUnloaded(EngineInventory.ModelState copy) {
         return orders.pendingChanges().stream()
                 .filter(change -> change.kind() == OrderKind.UNLOAD_MODEL)
                 .filter(change -> change.model().equals(copy.model()))
@@ -409,7 +413,7 @@
     }
 
     private Stream<Need> needsMetBy(EngineInventory.ModelState copy) {
-        Set<Need> leaving = new HashSet<>();
+        Set<Need> unloadingAdapters = new HashSet<>();
         orders.pendingChanges().stream()
                 .filter(change -> change.kind() == OrderKind.UNLOAD_ADAPTER)
                 .forEach(
@@ -417,14 +421,14 @@
                                 change.adapter()
                                         .ifPresent(
                                                 adapter ->
-                                                        leaving.add(
+                                                        unloadingAdapters.add(
                                                                 Need.of(change.model(), adapter))));
         return Stream.concat(
                 Stream.of(Need.of(copy.model())),
                 copy.adapters().stream()
                         .filter(adapter -> adapter.state() == EngineInventory.Residence.READY)
                         .map(adapter -> Need.of(copy.model(), adapter.adapter()))
-                        .filter(need -> !leaving.contains(need)));
+                        .filter(need -> !unloadingAdapters.contains(need)));
     }
 
     Set<Need> ready() {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineRefusal.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineRefusal.java
@@ -5,14 +5,14 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.link.codec.Codecs;
 
-/** Reads from an engine's error whether it says that the request was not run. */
+/** Determines from an engine's error response whether the request was certainly not run. */
 final class EngineRefusal {
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
     private EngineRefusal() {}
 
-    /** The body of an engine's error. */
+    /** The body of an engine's error response. */
     private record Body(Problem error) {}
 
     private record Problem(String code) {}
@@ -21,8 +21,8 @@
         return status == NOT_FOUND || status == UNAVAILABLE;
     }
 
-    // Only the engine's own words count. Another answer with the same status, such as a proxy's,
-    // says nothing about whether the request ran.
+    // Only the engine's own error codes count. Another response with the same status, such as one
+    // from a proxy, does not show whether the request ran.
     static Optional<ErrorCode> read(int status, byte[] body) {
         String code = codeIn(body);
         if (status == NOT_FOUND
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/LeavingWatch.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/LeavingWatch.java
@@ -10,7 +10,7 @@
 import org.tamaracktrack.core.id.HostId;
 import org.tamaracktrack.link.hosts.HostListClient;
 
-/** Reads in the platform's host list whether the own host is leaving. */
+/** Polls the platform's host list for whether the host of this process is leaving. */
 final class LeavingWatch implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(LeavingWatch.class);
     private static final long PERIOD_MILLIS = 1_000;
@@ -21,9 +21,9 @@
     private final ScheduledExecutorService thread =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
-                        Thread made = new Thread(task, "host-list");
-                        made.setDaemon(true);
-                        return made;
+                        Thread thread = new Thread(task, "host-list");
+                        thread.setDaemon(true);
+                        return thread;
                     });
     private boolean reachable = true;
 
@@ -36,12 +36,14 @@
     static LeavingWatch start(HostListClient hosts, HostId host, Consumer<Boolean> listener) {
         Objects.requireNonNull(hosts, "hosts is null");
         LeavingWatch watch = new LeavingWatch(hosts, host, listener);
-        watch.thread.scheduleWithFixedDelay(watch::read, 0, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+        watch.thread.scheduleWithFixedDelay(
+                watch::readHostList, 0, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
         return watch;
     }
 
-    // The list lags and has outages; what it does not say changes nothing.
-    private void read() {
+    // The list lags and has outages, so a missing host or a failed read leaves the last state in
+    // force.
+    private void readHostList() {
         try {
             HostListClient.HostState state = hosts.read().get(host);
             if (state != null) {
@@ -53,10 +55,10 @@
         }
     }
 
-    private void reachable(boolean now) {
-        if (reachable != now) {
-            reachable = now;
-            LOG.infof("event=host-list reachable=%s", now);
+    private void reachable(boolean newReachable) {
+        if (reachable != newReachable) {
+            reachable = newReachable;
+            LOG.infof("event=host-list reachable=%s", newReachable);
         }
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/LoadTimes.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/LoadDurations.java
@@ -6,49 +6,49 @@
 import org.tamaracktrack.core.target.OrderKind;
 import org.tamaracktrack.core.target.ResidencyChange;
 
-/** A moving average of how long loads of models and of adapters take. */
-final class LoadTimes {
+/** Moving averages of the time that loads of models and of adapters take. */
+final class LoadDurations {
     private static final double NEWEST_WEIGHT = 0.3;
 
-    private final Map<ResidencyChange, Long> orderedAt = new HashMap<>();
+    private final Map<ResidencyChange, Long> orderedAtMillisByChange = new HashMap<>();
     private double modelMillis;
     private double adapterMillis;
 
-    private LoadTimes() {}
+    private LoadDurations() {}
 
-    static LoadTimes empty() {
-        return new LoadTimes();
+    static LoadDurations empty() {
+        return new LoadDurations();
     }
 
     void ordered(ResidencyChange change, long nowMillis) {
         if (change.kind().isLoad()) {
-            orderedAt.put(change, nowMillis);
+            orderedAtMillisByChange.put(change, nowMillis);
         }
     }
 
-    void done(ResidencyChange change, long nowMillis) {
-        Long since = orderedAt.remove(change);
-        if (since == null) {
+    void completed(ResidencyChange change, long nowMillis) {
+        Long orderedAtMillis = orderedAtMillisByChange.remove(change);
+        if (orderedAtMillis == null) {
             return;
         }
         if (change.kind() == OrderKind.LOAD_MODEL) {
-            modelMillis = average(modelMillis, nowMillis - since);
+            modelMillis = average(modelMillis, nowMillis - orderedAtMillis);
         } else {
-            adapterMillis = average(adapterMillis, nowMillis - since);
+            adapterMillis = average(adapterMillis, nowMillis - orderedAtMillis);
         }
     }
 
     void failed(ResidencyChange change) {
-        orderedAt.remove(change);
+        orderedAtMillisByChange.remove(change);
     }
 
-    private static double average(double old, long newest) {
-        return old == 0 ? newest : old + NEWEST_WEIGHT * (newest - old);
+    private static double average(double previous, long newest) {
+        return previous == 0 ? newest : previous + NEWEST_WEIGHT * (newest - previous);
     }
 
-    /** How much longer the loads for a need that are under way will take, by the average. */
+    /** Returns the expected remaining milliseconds of the loads in progress for a need. */
     long remainingMillis(Need need, long nowMillis) {
-        return orderedAt.entrySet().stream()
+        return orderedAtMillisByChange.entrySet().stream()
                 .filter(entry -> entry.getKey().model().equals(need.model()))
                 .mapToLong(entry -> expectedMillis(need) - (nowMillis - entry.getValue()))
                 .max()
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/OwnershipLog.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/OwnershipAppender.java
@@ -9,10 +9,10 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Appends to the ownership stream on a thread of its own. */
-final class OwnershipLog implements AutoCloseable {
+/** Appends entries to the ownership stream of the log on a dedicated thread. */
+final class OwnershipAppender implements AutoCloseable {
     private final LogClient log;
-    private final ExecutorService appends =
+    private final ExecutorService executor =
             Executors.newSingleThreadExecutor(
                     task -> {
                         Thread thread = new Thread(task, "ownership-appends");
@@ -20,19 +20,19 @@
                         return thread;
                     });
 
-    private OwnershipLog(LogClient log) {
+    private OwnershipAppender(LogClient log) {
         this.log = log;
     }
 
-    static OwnershipLog of(LogClient log) {
+    static OwnershipAppender of(LogClient log) {
         Objects.requireNonNull(log, "log is null");
-        return new OwnershipLog(log);
+        return new OwnershipAppender(log);
     }
 
-    /** Appends an entry; the other hears if it was certainly not written. */
+    /** Appends an entry, and calls the callback if the entry was certainly not written. */
     void append(LogEntry entry, Runnable onNotWritten) {
-        if (!appends.isShutdown()) {
-            appends.execute(() -> appendNow(entry, onNotWritten));
+        if (!executor.isShutdown()) {
+            executor.execute(() -> appendNow(entry, onNotWritten));
         }
     }
 
@@ -48,6 +48,6 @@
 
     @Override
     public void close() {
-        appends.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/PeerHandler.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/PeerHandler.java
@@ -11,7 +11,7 @@
 import org.tamaracktrack.link.frame.Connection;
 import org.tamaracktrack.link.frame.ConnectionHandler;
 
-/** Hears the messages of entry daemons. */
+/** Handles the connections and messages of entry daemons. */
 final class PeerHandler implements ConnectionHandler {
     private final ControlThread control;
     private final Submissions submissions;
@@ -77,7 +77,7 @@
 
     @Override
     public void onConnectFailed(TamaracktrackException failure) {
-        // Only listens.
+        // This daemon opens no connections.
     }
 
     void sendToAll(Message message) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/RetryDelays.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/RetryDelays.java
@@ -8,10 +8,10 @@
 import org.tamaracktrack.core.target.OrderKind;
 import org.tamaracktrack.core.target.ResidencyChange;
 
-/** Doubling delays before a change that had no effect is ordered again. */
+/** Delays before a change that had no effect is ordered again, with exponential back-off. */
 final class RetryDelays {
     private static final long FIRST_MILLIS = 500;
-    private static final long LONGEST_MILLIS = 30_000;
+    private static final long MAXIMUM_MILLIS = 30_000;
 
     private final Map<Key, Delay> delays = new HashMap<>();
 
@@ -32,11 +32,11 @@
     void failed(ResidencyChange change, long nowMillis) {
         delays.compute(
                 key(change),
-                (key, last) -> {
+                (key, previous) -> {
                     long millis =
-                            last == null
+                            previous == null
                                     ? FIRST_MILLIS
-                                    : Math.min(LONGEST_MILLIS, 2 * last.millis());
+                                    : Math.min(MAXIMUM_MILLIS, 2 * previous.millis());
                     return new Delay(millis, nowMillis + millis);
                 });
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/Submissions.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/Submissions.java
@@ -24,25 +24,26 @@
 import org.tamaracktrack.link.frame.Connection;
 
 /**
- * The attempts at this target, from their arrival to their one end. State belongs to the control
- * thread, but for the map, which input/output threads use to find an attempt.
+ * Manages the attempts at this target from their arrival until each has ended exactly once.
+ * Confined to the control thread, except for the map of attempts, in which input/output threads
+ * look up an attempt.
  */
 final class Submissions implements AttemptListener {
     private static final Logger LOG = Logger.getLogger(Submissions.class);
-    private static final long RETRY_MILLIS = 1_000;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final ControlThread control;
     private final AdmissionPolicy admission;
     private final Dispatcher dispatcher;
     private final Supplier<Message.Load> load;
     private final TargetMeters meters;
-    private final PauseGuard pauses = PauseGuard.of(ControlThread.nowMillis());
+    private final PauseDetector pauseDetector = PauseDetector.of(ControlThread.nowMillis());
     private final Map<AttemptId, Attempt> attempts = new ConcurrentHashMap<>();
     private final Map<Need, Long> lastUsedMillis = new ConcurrentHashMap<>();
     private Runnable onUnmetNeed = () -> {};
     private boolean accepting;
     private boolean leaving;
-    private int cut;
+    private int cutCount;
 
     private Submissions(
             ControlThread control,
@@ -72,7 +73,7 @@
         onUnmetNeed = listener;
     }
 
-    // Any thread.
+    // Called by any thread.
     void submit(Connection connection, Message.Submit submit) {
         Attempt attempt = Attempt.of(submit, connection, ControlThread.nowMillis(), this);
         if (attempts.putIfAbsent(submit.attempt(), attempt) != null) {
@@ -82,13 +83,13 @@
         control.post(() -> admit(attempt));
     }
 
-    // Any thread.
+    // Called by any thread.
     void credit(Message.Credit credit) {
         Optional.ofNullable(attempts.get(credit.attempt()))
                 .ifPresent(attempt -> attempt.addCredit(credit.bytes()));
     }
 
-    // Any thread.
+    // Called by any thread.
     void cancel(AttemptId id) {
         control.post(
                 () ->
@@ -96,41 +97,41 @@
                                 .ifPresent(attempt -> cancel(attempt, ErrorCode.CANCELLED)));
     }
 
-    // A process that was frozen finds requests in its sockets whose callers gave up long ago. The
-    // cancel, or the end of the connection, lies right behind them: a moment's wait lets it be read
-    // first, so that no dead request is started.
+    // After a suspension the sockets hold requests whose callers have given up. Their cancellation,
+    // or the end of the connection, directly follows them; a short wait lets it be read first, so
+    // that no abandoned request is started.
     private void admit(Attempt attempt) {
-        long wait = pauses.waitMillis(ControlThread.nowMillis());
-        if (wait > 0) {
-            control.after(wait, () -> arrived(attempt));
+        long waitMillis = pauseDetector.waitMillis(ControlThread.nowMillis());
+        if (waitMillis > 0) {
+            control.after(waitMillis, () -> admitNow(attempt));
         } else {
-            arrived(attempt);
+            admitNow(attempt);
         }
     }
 
-    private void arrived(Attempt attempt) {
+    private void admitNow(Attempt attempt) {
         if (attempts.get(attempt.submit().attempt()) != attempt) {
             return;
         }
         if (leaving) {
             refuse(attempt, ErrorCode.LEAVING, -1);
         } else if (!accepting) {
-            refuse(attempt, ErrorCode.NOT_READY, RETRY_MILLIS);
+            refuse(attempt, ErrorCode.NOT_READY, RETRY_AFTER_MILLIS);
         } else if (!dispatcher.serves(attempt.submit())) {
-            refuse(attempt, ErrorCode.NO_TARGET, RETRY_MILLIS);
+            refuse(attempt, ErrorCode.NO_TARGET, RETRY_AFTER_MILLIS);
         } else {
-            handle(new AdmissionMessage.Arrived(workOf(attempt)));
-            announceUnmetNeeds(attempt);
+            handle(new AdmissionMessage.Arrived(admissionRequestOf(attempt)));
+            notifyIfUnmet(attempt);
         }
     }
 
-    private void announceUnmetNeeds(Attempt attempt) {
+    private void notifyIfUnmet(Attempt attempt) {
         if (needOf(attempt.submit()).filter(admission.unmetNeeds()::contains).isPresent()) {
             onUnmetNeed.run();
         }
     }
 
-    private static AdmissionRequest workOf(Attempt attempt) {
+    private static AdmissionRequest admissionRequestOf(Attempt attempt) {
         Message.Submit submit = attempt.submit();
         return new AdmissionRequest(
                 submit.attempt(),
@@ -170,35 +171,36 @@
             if (attempt.refuse(code, retryAfterMillis, load.get())) {
                 meters.refused(code);
             }
-        } catch (TamaracktrackException breach) {
-            breach(breach);
+        } catch (TamaracktrackException failure) {
+            reportBreach(failure);
             attempt.fail(ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, load.get());
         }
     }
 
-    private void breach(TamaracktrackException failure) {
+    private void reportBreach(TamaracktrackException failure) {
         meters.event("invariant.breaches");
         LOG.errorf("event=invariant-breach what=%s", failure.getMessage());
     }
 
-    // The last look at the clock before bytes go out. A process that was paused after it decided to
-    // start would otherwise run a request whose caller has been told that it was not served.
+    // Last check of the deadline before dispatch. A process that was suspended after it decided to
+    // start the request would otherwise run a request that was reported to its caller as not
+    // served.
     private void start(Attempt attempt, long queuedMillis) {
         if (ControlThread.nowMillis() >= attempt.firstTokenByMillis()) {
             refuse(attempt, ErrorCode.DEADLINE_BEFORE_START, -1);
-            ended(attempt, OptionalInt.of(1));
+            postEnded(attempt, OptionalInt.of(1));
             return;
         }
-        attempt.queuedFor(queuedMillis);
+        attempt.recordQueuedMillis(queuedMillis);
         meters.queued(attempt.submit().requestClass(), queuedMillis);
         needOf(attempt.submit())
                 .ifPresent(need -> lastUsedMillis.put(need, ControlThread.nowMillis()));
         if (!dispatcher.dispatch(attempt)) {
-            ended(attempt, OptionalInt.of(1));
+            postEnded(attempt, OptionalInt.of(1));
         }
     }
 
-    private void ended(Attempt attempt, OptionalInt tokens) {
+    private void postEnded(Attempt attempt, OptionalInt tokens) {
         control.post(() -> handle(new AdmissionMessage.Ended(attempt.submit().attempt(), tokens)));
     }
 
@@ -214,15 +216,15 @@
     }
 
     @Override
-    public void onWhole(Attempt attempt) {
+    public void onComplete(Attempt attempt) {
         control.post(
                 () -> {
                     if (attempt.finish(load.get())) {
-                        meters.whole(
+                        meters.completed(
                                 attempt.submit().requestClass(),
                                 ControlThread.nowMillis() - attempt.arrivedAtMillis());
                     }
-                    forget(attempt);
+                    remove(attempt);
                 });
     }
 
@@ -230,8 +232,8 @@
     public void onNotRun(Attempt attempt, ErrorCode code) {
         control.post(
                 () -> {
-                    refuse(attempt, code, code.retryable() ? RETRY_MILLIS : -1);
-                    forget(attempt);
+                    refuse(attempt, code, code.retryable() ? RETRY_AFTER_MILLIS : -1);
+                    remove(attempt);
                 });
     }
 
@@ -242,13 +244,13 @@
                     if (attempt.fail(code, ran, load.get())) {
                         meters.failed(code);
                     }
-                    forget(attempt);
+                    remove(attempt);
                 });
     }
 
-    private void forget(Attempt attempt) {
+    private void remove(Attempt attempt) {
         attempts.remove(attempt.submit().attempt());
-        handle(new AdmissionMessage.Ended(attempt.submit().attempt(), attempt.tokens()));
+        handle(new AdmissionMessage.Ended(attempt.submit().attempt(), attempt.totalTokens()));
         if (!admission.unmetNeeds().isEmpty()) {
             onUnmetNeed.run();
         }
@@ -265,8 +267,9 @@
         }
     }
 
-    // Nobody is left to read the answers. What may be run again is stopped; what may not is left to
-    // finish, since half an approval is worse than one whose answer is lost.
+    // The answers can no longer be delivered. Attempts that did not start or are idempotent are
+    // cancelled, since they can be retried elsewhere. Others may finish, since a half-executed
+    // request is worse than a complete one whose answer is lost.
     void connectionLost(Connection connection) {
         attempts.values().stream()
                 .filter(attempt -> attempt.connection().equals(connection))
@@ -281,22 +284,22 @@
     }
 
     void tick() {
-        long now = ControlThread.nowMillis();
-        pauses.tick(now);
+        long nowMillis = ControlThread.nowMillis();
+        pauseDetector.tick(nowMillis);
         attempts.values().stream()
-                .filter(attempt -> now >= attempt.deadlineMillis())
+                .filter(attempt -> nowMillis >= attempt.deadlineMillis())
                 .filter(Attempt::mayHaveRun)
                 .forEach(attempt -> attempt.cancel(ErrorCode.DEADLINE_WHILE_RUNNING));
         handle(new AdmissionMessage.Tick());
-        lastUsedMillis.values().removeIf(usedAt -> now - usedAt > 3_600_000);
+        lastUsedMillis.values().removeIf(usedAt -> nowMillis - usedAt > 3_600_000);
     }
 
-    void accept() {
+    void startAccepting() {
         accepting = true;
     }
 
-    void leave(boolean nowLeaving) {
-        leaving = nowLeaving;
+    void updateLeaving(boolean newLeaving) {
+        leaving = newLeaving;
     }
 
     boolean isLeaving() {
@@ -307,17 +310,22 @@
         return accepting && !leaving;
     }
 
-    // Any thread.
+    // Called by any thread.
     int size() {
         return attempts.size();
     }
 
-    /** The time for a planned stop is over: what still runs is cut, and said to be so. */
+    /**
+     * Ends all attempts because the drain deadline has passed. Those that may have run fail with an
+     * unknown outcome; the others are refused.
+     *
+     * @return the number of attempts ended by this method so far
+     */
     int cutAll() {
         List.copyOf(attempts.values())
                 .forEach(
                         attempt -> {
-                            cut++;
+                            cutCount++;
                             if (attempt.mayHaveRun()) {
                                 attempt.cancel(ErrorCode.OUTCOME_UNKNOWN);
                                 attempt.fail(ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, load.get());
@@ -325,7 +333,7 @@
                                 refuse(attempt, ErrorCode.LEAVING, -1);
                             }
                         });
-        return cut;
+        return cutCount;
     }
 
     Set<Need> inUse() {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetMeters.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetMeters.java
@@ -9,7 +9,7 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.id.RequestClassId;
 
-/** The meters of the target role. */
+/** The metrics of the target role. */
 final class TargetMeters {
     private final MeterRegistry registry;
 
@@ -34,7 +34,7 @@
         histogram("first.bytes", requestClass).record(Duration.ofMillis(millis));
     }
 
-    void whole(RequestClassId requestClass, long millis) {
+    void completed(RequestClassId requestClass, long millis) {
         histogram("whole", requestClass).record(Duration.ofMillis(millis));
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
@@ -33,11 +33,11 @@
 import org.tamaracktrack.daemon.runtime.DaemonRuntime;
 import org.tamaracktrack.daemon.runtime.LogFollower;
 
-/** The target role, running. */
+/** Runs the target role of a daemon. */
 public final class TargetRole implements DaemonRole {
     private static final Logger LOG = Logger.getLogger(TargetRole.class);
     private static final long TICK_MILLIS = 50;
-    private static final long LAST_RECORD_MILLIS = 2_000;
+    private static final long FINAL_STEP_TIMEOUT_MILLIS = 2_000;
     private static final AdmissionLimits NO_LIMITS = new AdmissionLimits(0, Map.of(), Map.of());
 
     private final long startedAtMillis = System.currentTimeMillis();
@@ -47,16 +47,16 @@
     private final Dispatcher dispatcher;
     private final Submissions submissions;
     private final PeerHandler peers;
-    private final OwnershipLog ownershipLog;
+    private final OwnershipAppender ownershipAppender;
     private final EngineClient engine;
     private final Counters counters = Counters.empty();
     private final CounterPublisher publisher;
-    private final PlanRegister plans = PlanRegister.empty();
-    private final Departure departure = Departure.none();
+    private final PlanRegister planRegister = PlanRegister.empty();
+    private final LeavingReasons leavingReasons = LeavingReasons.none();
     private final CountDownLatch drained = new CountDownLatch(1);
     private InetSocketAddress address;
-    private Optional<OwnershipKeeper> ownership = Optional.empty();
-    private Optional<EngineKeeper> keeper = Optional.empty();
+    private Optional<OwnershipRenewer> ownershipRenewer = Optional.empty();
+    private Optional<EngineController> engineController = Optional.empty();
     private Optional<Configuration.Target> configured = Optional.empty();
     private boolean ownsPlainService;
     private long loadSequence;
@@ -82,7 +82,7 @@
                         ConfigurationAnswers.of(runtime.configuration()),
                         this::hello,
                         this::load);
-        this.ownershipLog = OwnershipLog.of(runtime.log());
+        this.ownershipAppender = OwnershipAppender.of(runtime.log());
         this.engine = EngineClient.of(runtime.http());
         this.publisher =
                 CounterPublisher.start(
@@ -94,23 +94,23 @@
     }
 
     /**
-     * Starts the role with fair admission.
+     * Starts the role with the fair admission policy.
      *
-     * @param runtime the parts it is built from
+     * @param runtime the components that the role uses
      * @return the running role
-     * @throws TamaracktrackException with {@code INVALID_SETTINGS} when the settings name no target
+     * @throws TamaracktrackException with {@code INVALID_SETTINGS} if the settings name no target
      */
     public static TargetRole start(DaemonRuntime runtime) {
         return start(runtime, AdmissionKind.FAIR);
     }
 
     /**
-     * Starts the role.
+     * Starts the role with an admission policy.
      *
-     * @param runtime the parts it is built from
+     * @param runtime the components that the role uses
      * @param admission the admission policy
      * @return the running role
-     * @throws TamaracktrackException with {@code INVALID_SETTINGS} when the settings name no target
+     * @throws TamaracktrackException with {@code INVALID_SETTINGS} if the settings name no target
      */
     public static TargetRole start(DaemonRuntime runtime, AdmissionKind admission) {
         Objects.requireNonNull(runtime, "runtime is null");
@@ -122,16 +122,16 @@
                                 () ->
                                         TamaracktrackException.of(
                                                 ErrorCode.INVALID_SETTINGS,
-                                                "a target daemon needs a target"));
+                                                "no target set for the target role"));
         TargetRole role = new TargetRole(runtime, target, admission);
-        role.begin();
+        role.open();
         return role;
     }
 
-    private void begin() {
+    private void open() {
         address = runtime.transport().listen(runtime.settings().peerAddress(), peers);
-        OwnershipKeeper taking =
-                OwnershipKeeper.of(
+        OwnershipRenewer renewer =
+                OwnershipRenewer.of(
                         new LogEntry.OwnershipTaken(
                                 target,
                                 runtime.incarnation(),
@@ -139,9 +139,9 @@
                                 runtime.settings().dataCentre(),
                                 address.getAddress().getHostAddress() + ":" + address.getPort(),
                                 startedAtMillis),
-                        ownershipLog,
+                        ownershipAppender,
                         this::isOwner);
-        ownership = Optional.of(taking);
+        ownershipRenewer = Optional.of(renewer);
         runtime.hosts()
                 .ifPresent(
                         hosts ->
@@ -152,8 +152,9 @@
                                                 runtime.control()
                                                         .post(
                                                                 () ->
-                                                                        leave(
-                                                                                Departure.Reason
+                                                                        updateLeaving(
+                                                                                LeavingReasons
+                                                                                        .Reason
                                                                                         .HOST_LIST,
                                                                                 leaving))));
         meters.gauge("running", () -> submissions.admission().running());
@@ -164,80 +165,84 @@
 
     private void tick() {
         submissions.tick();
-        ownership.filter(taking -> configured.isPresent()).ifPresent(OwnershipKeeper::tick);
+        ownershipRenewer
+                .filter(renewer -> configured.isPresent())
+                .ifPresent(OwnershipRenewer::tick);
         if (stopping && submissions.size() == 0) {
             drained.countDown();
         }
     }
 
     private boolean isOwner() {
-        return keeper.map(EngineKeeper::isOwner).orElse(ownsPlainService);
+        return engineController.map(EngineController::isOwner).orElse(ownsPlainService);
     }
 
-    private void configure(ConfigurationSource.Versioned inForce) {
-        Configuration configuration = inForce.configuration();
-        Optional<Configuration.Target> now =
+    private void configure(ConfigurationSource.Versioned versioned) {
+        Configuration configuration = versioned.configuration();
+        Optional<Configuration.Target> newTarget =
                 Optional.ofNullable(configuration.targets().get(target));
-        if (now.isEmpty()) {
+        if (newTarget.isEmpty()) {
             LOG.warnf(
-                    "event=target-not-configured target=%s version=%d", target, inForce.version());
+                    "event=target-not-configured target=%s version=%d",
+                    target, versioned.version());
             return;
         }
         boolean first = configured.isEmpty();
-        configured = now;
-        dispatcher.configure(configuration, now.get());
+        configured = newTarget;
+        dispatcher.configure(configuration, newTarget.get());
         submissions.handle(
                 new AdmissionMessage.LimitsChanged(
-                        AdmissionLimits.of(configuration, now.get().concurrency())));
+                        AdmissionLimits.of(configuration, newTarget.get().concurrency())));
         if (first) {
-            startWork(configuration, now.get());
+            startServing(configuration, newTarget.get());
         } else {
-            keeper.ifPresent(each -> each.configure(configuration, now.get()));
+            engineController.ifPresent(
+                    controller -> controller.configure(configuration, newTarget.get()));
         }
     }
 
-    private void startWork(Configuration configuration, Configuration.Target now) {
-        if (now.kind() == Configuration.TargetKind.ENGINE) {
-            EngineKeeper started =
-                    EngineKeeper.start(
+    private void startServing(Configuration configuration, Configuration.Target configuredTarget) {
+        if (configuredTarget.kind() == Configuration.TargetKind.ENGINE) {
+            EngineController controller =
+                    EngineController.start(
                             configuration,
-                            now,
+                            configuredTarget,
                             runtime.incarnation(),
                             startedAtMillis,
                             runtime.control(),
                             engine,
-                            ownershipLog,
+                            ownershipAppender,
                             submissions,
                             counters,
                             meters);
-            started.onReadyChanged(() -> peers.sendToAll(new Message.LoadReport(load())));
-            started.onDeposed(this::deposed);
-            keeper = Optional.of(started);
+            controller.onReadyChanged(() -> peers.sendToAll(new Message.LoadReport(load())));
+            controller.onDeposed(this::onDeposed);
+            engineController = Optional.of(controller);
             LogFollower.start(runtime.log(), LogStream.PLAN, runtime.control(), new PlanListener());
         }
         LogFollower.start(
                 runtime.log(), LogStream.OWNERSHIP, runtime.control(), new OwnershipListener());
-        submissions.accept();
+        submissions.startAccepting();
         ready = !stopping;
         LOG.infof("event=target-serving target=%s address=%s", target, address);
     }
 
-    private void deposed() {
-        ownership.ifPresent(OwnershipKeeper::deposed);
-        leave(Departure.Reason.DEPOSED, true);
+    private void onDeposed() {
+        ownershipRenewer.ifPresent(OwnershipRenewer::onDeposed);
+        updateLeaving(LeavingReasons.Reason.DEPOSED, true);
     }
 
-    private void leave(Departure.Reason reason, boolean leaving) {
-        if (!departure.note(reason, leaving)) {
+    private void updateLeaving(LeavingReasons.Reason reason, boolean active) {
+        if (!leavingReasons.update(reason, active)) {
             return;
         }
-        submissions.leave(departure.isLeaving());
+        submissions.updateLeaving(leavingReasons.isLeaving());
         LOG.infof(
                 "event=leaving target=%s leaving=%s reason=%s",
-                target, departure.isLeaving(), reason);
-        ready = configured.isPresent() && !departure.isLeaving();
+                target, leavingReasons.isLeaving(), reason);
+        ready = configured.isPresent() && !leavingReasons.isLeaving();
         peers.sendToAll(
-                departure.isLeaving()
+                leavingReasons.isLeaving()
                         ? new Message.Leaving(target)
                         : new Message.LoadReport(load()));
     }
@@ -251,20 +256,24 @@
     }
 
     private Message.Load load() {
-        Set<Need> met = keeper.map(EngineKeeper::ready).orElse(Set.of());
+        Set<Need> readyNeeds = engineController.map(EngineController::ready).orElse(Set.of());
         List<ModelId> resident =
-                met.stream().filter(need -> need.adapter().isEmpty()).map(Need::model).toList();
-        List<AdapterId> adapters = met.stream().flatMap(need -> need.adapter().stream()).toList();
+                readyNeeds.stream()
+                        .filter(need -> need.adapter().isEmpty())
+                        .map(Need::model)
+                        .toList();
+        List<AdapterId> adapters =
+                readyNeeds.stream().flatMap(need -> need.adapter().stream()).toList();
         return new Message.Load(
                 target,
                 loadSequence++,
-                departure.isLeaving(),
+                leavingReasons.isLeaving(),
                 submissions.admission().running(),
                 submissions.admission().queued(),
                 submissions.admission().estimatedWaitMillis(),
                 resident,
                 adapters,
-                keeper.map(EngineKeeper::loading).orElse(List.of()));
+                engineController.map(EngineController::loading).orElse(List.of()));
     }
 
     @Override
@@ -286,17 +295,17 @@
     public boolean drain() {
         stopping = true;
         ready = false;
-        runtime.control().post(() -> leave(Departure.Reason.PLANNED_STOP, true));
-        boolean whole = awaitDrained(runtime.settings().drainMillis());
-        if (!whole) {
-            cutRest();
+        runtime.control().post(() -> updateLeaving(LeavingReasons.Reason.PLANNED_STOP, true));
+        boolean drainedInTime = awaitDrained(runtime.settings().drainMillis());
+        if (!drainedInTime) {
+            cutRemaining();
         }
-        publisher.drain(LAST_RECORD_MILLIS);
-        keeper.ifPresent(EngineKeeper::close);
+        publisher.drain(FINAL_STEP_TIMEOUT_MILLIS);
+        engineController.ifPresent(EngineController::close);
         engine.close();
-        ownershipLog.close();
+        ownershipAppender.close();
         runtime.control().close();
-        return whole;
+        return drainedInTime;
     }
 
     private boolean awaitDrained(long limitMillis) {
@@ -308,7 +317,7 @@
         }
     }
 
-    private void cutRest() {
+    private void cutRemaining() {
         CountDownLatch done = new CountDownLatch(1);
         runtime.control()
                 .post(
@@ -317,7 +326,7 @@
                             done.countDown();
                         });
         try {
-            done.await(LAST_RECORD_MILLIS, TimeUnit.MILLISECONDS);
+            done.await(FINAL_STEP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -327,39 +336,39 @@
 
         @Override
         public void onRecord(LogRecord record) {
-            keeper.ifPresent(each -> each.record(record));
+            engineController.ifPresent(controller -> controller.onRecord(record));
             if (record.entry() instanceof LogEntry.DrainRequested drain
                     && drain.target().equals(target)) {
-                leave(Departure.Reason.DRAIN_RECORD, drain.leaving());
+                updateLeaving(LeavingReasons.Reason.DRAIN_RECORD, drain.leaving());
             }
-            if (keeper.isEmpty()
+            if (engineController.isEmpty()
                     && record.entry() instanceof LogEntry.OwnershipTaken taken
                     && taken.target().equals(target)) {
-                servicesOwner(taken);
+                onServiceOwnershipTaken(taken);
             }
         }
 
-        private void servicesOwner(LogEntry.OwnershipTaken taken) {
-            boolean owned = ownsPlainService;
+        private void onServiceOwnershipTaken(LogEntry.OwnershipTaken taken) {
+            boolean wasOwner = ownsPlainService;
             ownsPlainService = taken.owner().equals(runtime.incarnation());
-            if (owned && !ownsPlainService && taken.startedAtMillis() > startedAtMillis) {
-                deposed();
+            if (wasOwner && !ownsPlainService && taken.startedAtMillis() > startedAtMillis) {
+                onDeposed();
             }
         }
 
         @Override
         public void onGap(long firstOffset) {
-            keeper.ifPresent(EngineKeeper::recordsMissed);
+            engineController.ifPresent(EngineController::onRecordsMissed);
         }
 
         @Override
         public void onCaughtUp(long nextOffset) {
-            ownership.ifPresent(each -> each.caughtUp(ControlThread.nowMillis()));
+            ownershipRenewer.ifPresent(renewer -> renewer.onCaughtUp(ControlThread.nowMillis()));
         }
 
         @Override
         public void onReachable(boolean reachable) {
-            keeper.ifPresent(each -> each.logReachable(reachable));
+            engineController.ifPresent(controller -> controller.logReachable(reachable));
         }
     }
 
@@ -367,22 +376,27 @@
 
         @Override
         public void onRecord(LogRecord record) {
-            plans.handle(record).ifPresent(now -> keeper.ifPresent(each -> each.plan(now)));
+            planRegister
+                    .handle(record)
+                    .ifPresent(
+                            published ->
+                                    engineController.ifPresent(
+                                            controller -> controller.updatePlan(published)));
         }
 
         @Override
         public void onGap(long firstOffset) {
-            // A plan states everything that it wants, so an older one is not needed.
+            // Each plan is complete, so earlier plans are not needed.
         }
 
         @Override
         public void onCaughtUp(long nextOffset) {
-            // Each plan holds from its own record on.
+            // A plan takes effect when its record is read.
         }
 
         @Override
         public void onReachable(boolean reachable) {
-            // The last plan stays in force while the log is out.
+            // The last plan stays in force while the log is unavailable.
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The target role: the one process beside a target. It alone admits work to it, sends it orders and
- * keeps the ledger of its accelerators' memory.
+ * The target role: the only process that admits requests to its target, sends it orders, and keeps
+ * the ledger of the memory of its accelerators.
  */
 package org.tamaracktrack.daemon.target;
--- a/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeConnection.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeConnection.java
@@ -8,7 +8,7 @@
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.link.frame.Connection;
 
-/** The entry daemon's end, as the target sees it. */
+/** A connection to an entry daemon that records the messages sent to it. */
 final class FakeConnection implements Connection {
     private static final long LIMIT_SECONDS = 10;
 
@@ -40,27 +40,30 @@
         return "test";
     }
 
-    /** Waits for the next message of a type, passing over load reports and others. */
+    /** Waits for the next message of a type and discards other messages, such as load reports. */
     <T extends Message> T next(Class<T> type) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
         try {
             while (true) {
-                Message message = sent.poll(end - System.nanoTime(), TimeUnit.NANOSECONDS);
+                Message message =
+                        sent.poll(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
                 if (message == null) {
                     throw TamaracktrackException.of(
-                            ErrorCode.INTERNAL, "no " + type.getSimpleName() + " came");
+                            ErrorCode.INTERNAL,
+                            "no message of type " + type.getSimpleName() + " was sent in time");
                 }
                 if (type.isInstance(message)) {
                     return type.cast(message);
                 }
             }
         } catch (InterruptedException interrupted) {
-            throw TamaracktrackException.of(ErrorCode.INTERNAL, "interrupted", interrupted);
+            throw TamaracktrackException.of(
+                    ErrorCode.INTERNAL, "interrupted while waiting for a message", interrupted);
         }
     }
 
-    /** Counts the messages of a type that have been sent and not taken. */
-    long waiting(Class<? extends Message> type) {
+    /** Counts the messages of a type that have been sent and not read by the test. */
+    long countQueued(Class<? extends Message> type) {
         return sent.stream().filter(type::isInstance).count();
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeHttp.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeHttp.java
@@ -28,7 +28,7 @@
 import org.tamaracktrack.link.http.HttpListener;
 import org.tamaracktrack.link.http.HttpStream;
 
-/** An engine behind the HTTP port: orders take effect at once, answers come as a test says. */
+/** An HTTP client to a fake engine: orders take effect immediately, the test sets the answers. */
 final class FakeHttp implements HttpCaller {
     private static final AcceleratorId ACCELERATOR = AcceleratorId.of("a0");
     private static final long CAPACITY = 1_000;
@@ -38,16 +38,16 @@
     private final List<EngineInventory.ModelState> models = new ArrayList<>();
     private final List<EngineInventory.OrderState> orders = new ArrayList<>();
     private long highestFencing;
-    private final List<Runnable> held = new CopyOnWriteArrayList<>();
-    private final CountDownLatch heldOnce = new CountDownLatch(1);
+    private final List<Runnable> heldConnections = new CopyOnWriteArrayList<>();
+    private final CountDownLatch connectionHeld = new CountDownLatch(1);
     private volatile boolean reachable = true;
-    private volatile boolean holding;
+    private volatile boolean holdingConnections;
 
-    /** A request that reached the engine, and the test's hold on its answer. */
+    /** A request that reached the engine; the test controls its answer. */
     static final class Call implements HttpStream {
         private final HttpCall request;
         private final HttpListener listener;
-        private final CountDownLatch pausedOnce = new CountDownLatch(1);
+        private final CountDownLatch pausedLatch = new CountDownLatch(1);
         private volatile boolean paused;
         private volatile boolean cancelled;
 
@@ -64,9 +64,9 @@
             return paused;
         }
 
-        /** Waits until the call has been paused; false when that does not happen in time. */
+        /** Waits until the call has been paused; returns false if that does not happen in time. */
         boolean awaitPaused() throws InterruptedException {
-            return pausedOnce.await(LIMIT_SECONDS, TimeUnit.SECONDS);
+            return pausedLatch.await(LIMIT_SECONDS, TimeUnit.SECONDS);
         }
 
         boolean isCancelled() {
@@ -94,7 +94,7 @@
         @Override
         public void pause() {
             paused = true;
-            pausedOnce.countDown();
+            pausedLatch.countDown();
         }
 
         @Override
@@ -111,8 +111,8 @@
         }
     }
 
-    void reachable(boolean now) {
-        reachable = now;
+    void reachable(boolean newReachable) {
+        reachable = newReachable;
     }
 
     /** Waits for the next request to the engine or service. */
@@ -120,24 +120,26 @@
         try {
             Call call = calls.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
             if (call == null) {
-                throw TamaracktrackException.of(ErrorCode.INTERNAL, "no call came");
+                throw TamaracktrackException.of(
+                        ErrorCode.INTERNAL, "no request reached the engine or service in time");
             }
             return call;
         } catch (InterruptedException interrupted) {
-            throw TamaracktrackException.of(ErrorCode.INTERNAL, "interrupted", interrupted);
+            throw TamaracktrackException.of(
+                    ErrorCode.INTERNAL, "interrupted while waiting for a request", interrupted);
         }
     }
 
-    boolean isQuiet() {
+    boolean hasNoCalls() {
         return calls.isEmpty();
     }
 
     @Override
     public HttpStream stream(HttpCall request, BooleanSupplier maySend, HttpListener listener) {
         Call call = new Call(request, listener);
-        if (holding) {
-            held.add(() -> open(call, maySend));
-            heldOnce.countDown();
+        if (holdingConnections) {
+            heldConnections.add(() -> open(call, maySend));
+            connectionHeld.countDown();
         } else {
             open(call, maySend);
         }
@@ -153,21 +155,22 @@
     }
 
     /**
-     * Opens no further connection until {@link #release()}, as if the process were frozen there.
+     * Delays new connections until {@link #releaseConnections()}, as if the process were suspended
+     * before it connects.
      */
-    void hold() {
-        holding = true;
+    void holdConnections() {
+        holdingConnections = true;
     }
 
-    /** Waits until a call is held; false when that does not happen in time. */
-    boolean awaitHeld() throws InterruptedException {
-        return heldOnce.await(LIMIT_SECONDS, TimeUnit.SECONDS);
+    /** Waits until a connection is held; returns false if that does not happen in time. */
+    boolean awaitHeldConnection() throws InterruptedException {
+        return connectionHeld.await(LIMIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    void release() {
-        holding = false;
-        held.forEach(Runnable::run);
-        held.clear();
+    void releaseConnections() {
+        holdingConnections = false;
+        heldConnections.forEach(Runnable::run);
+        heldConnections.clear();
     }
 
     @Override
@@ -176,13 +179,13 @@
             throw HttpCallException.of(HttpFailure.NOT_SENT, "unreachable");
         }
         if (request.path().equals("/admin/orders")) {
-            take(Codecs.decode(Codecs.json(), request.body(), EngineOrder.class));
+            apply(Codecs.decode(Codecs.json(), request.body(), EngineOrder.class));
             return new HttpAnswer(202, Map.of(), new byte[0]);
         }
         return new HttpAnswer(200, Map.of(), Codecs.encode(Codecs.json(), inventory()));
     }
 
-    private void take(EngineOrder order) {
+    private void apply(EngineOrder order) {
         highestFencing = Math.max(highestFencing, order.fencing());
         orders.add(new EngineInventory.OrderState(order.orderId(), EngineInventory.Outcome.DONE));
         if (order.kind() == OrderKind.LOAD_MODEL) {
--- a/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeLog.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeLogClient.java
@@ -11,18 +11,18 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** The log in memory; it can be out. */
-final class FakeLog implements LogClient {
+/** A log in memory that a test can make unavailable. */
+final class FakeLogClient implements LogClient {
     private final Map<LogStream, List<LogRecord>> streams = new EnumMap<>(LogStream.class);
-    private boolean out;
+    private boolean unavailable;
 
-    synchronized void out(boolean now) {
-        out = now;
+    synchronized void unavailable(boolean newUnavailable) {
+        unavailable = newUnavailable;
         notifyAll();
     }
 
     private List<LogRecord> records(LogStream stream) {
-        if (out) {
+        if (unavailable) {
             throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "outage");
         }
         return streams.computeIfAbsent(stream, unused -> new ArrayList<>());
--- a/daemon/src/test/java/org/tamaracktrack/daemon/target/TargetFixture.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/target/TargetFixture.java
@@ -29,7 +29,7 @@
 import org.tamaracktrack.link.frame.ConnectionHandler;
 import org.tamaracktrack.link.frame.FrameTransport;
 
-/** A target role between fakes of its ports. */
+/** A running target role with fakes of the log, HTTP, transport and configuration. */
 final class TargetFixture implements AutoCloseable {
     static final TargetId TARGET = TargetId.of("t1");
     static final ModelId MODEL = ModelId.of("approval");
@@ -39,14 +39,14 @@
     private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 9);
 
     final FakeHttp http = new FakeHttp();
-    final FakeLog log;
+    final FakeLogClient log;
     final TargetRole role;
     final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final ControlThread control = ControlThread.of("control");
     private final AtomicReference<ConnectionHandler> handler = new AtomicReference<>();
-    private long number;
+    private long requestNumber;
 
-    private TargetFixture(FakeLog log, Configuration.TargetKind kind, int concurrency) {
+    private TargetFixture(FakeLogClient log, Configuration.TargetKind kind, int concurrency) {
         this.log = log;
         role =
                 TargetRole.start(
@@ -59,21 +59,21 @@
                                 new Transport(),
                                 http,
                                 metrics,
-                                new Fixed(configuration(kind, concurrency))));
+                                new FixedConfigurationSource(configuration(kind, concurrency))));
     }
 
     static TargetFixture engine(int concurrency) {
-        return new TargetFixture(new FakeLog(), Configuration.TargetKind.ENGINE, concurrency);
+        return new TargetFixture(new FakeLogClient(), Configuration.TargetKind.ENGINE, concurrency);
     }
 
-    static TargetFixture engineWithLogOut() {
-        FakeLog log = new FakeLog();
-        log.out(true);
+    static TargetFixture engineWithUnavailableLog() {
+        FakeLogClient log = new FakeLogClient();
+        log.unavailable(true);
         return new TargetFixture(log, Configuration.TargetKind.ENGINE, 1);
     }
 
     static TargetFixture service() {
-        return new TargetFixture(new FakeLog(), Configuration.TargetKind.SERVICE, 1);
+        return new TargetFixture(new FakeLogClient(), Configuration.TargetKind.SERVICE, 1);
     }
 
     private final class Transport implements FrameTransport {
@@ -90,7 +90,8 @@
         public void close() {}
     }
 
-    private record Fixed(Configuration configuration) implements ConfigurationSource {
+    private record FixedConfigurationSource(Configuration configuration)
+            implements ConfigurationSource {
         @Override
         public Optional<Versioned> current() {
             return Optional.of(new Versioned(7, "{}", configuration));
@@ -164,7 +165,7 @@
         handler.get().onClosed(connection);
     }
 
-    void tell(FakeConnection connection, Message message) {
+    void deliver(FakeConnection connection, Message message) {
         handler.get().onMessage(connection, message);
     }
 
@@ -180,7 +181,7 @@
             int credit) {
         Message.Submit submit =
                 new Message.Submit(
-                        AttemptId.of(ENTRY, number++, 0),
+                        AttemptId.of(ENTRY, requestNumber++, 0),
                         ClientAccountId.of("cevallos"),
                         CLASS,
                         Message.CallKind.MODEL,
@@ -196,14 +197,14 @@
                         "{}".getBytes(StandardCharsets.UTF_8),
                         true,
                         credit);
-        tell(connection, submit);
+        deliver(connection, submit);
         return submit;
     }
 
     Message.Submit submitToService(FakeConnection connection) {
         Message.Submit submit =
                 new Message.Submit(
-                        AttemptId.of(ENTRY, number++, 0),
+                        AttemptId.of(ENTRY, requestNumber++, 0),
                         ClientAccountId.of("cevallos"),
                         CLASS,
                         Message.CallKind.SERVICE,
@@ -219,7 +220,7 @@
                         "{}".getBytes(StandardCharsets.UTF_8),
                         false,
                         1_000_000);
-        tell(connection, submit);
+        deliver(connection, submit);
         return submit;
     }
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/target/TargetRoleTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/target/TargetRoleTest.java
@@ -32,7 +32,7 @@
     class Answers {
 
         @Test
-        void shouldLoadTheModelAndPassTheAnswerOnWhenARequestNeedsIt() {
+        void shouldLoadModelAndForwardAnswerWhenRequestNeedsModel() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             Message.Submit submit = target.submit(entry, TargetFixture.MODEL);
@@ -55,7 +55,7 @@
         }
 
         @Test
-        void shouldPassMethodPathStatusAndHeadersWhenAServiceIsCalled() {
+        void shouldForwardMethodPathStatusAndHeadersWhenServiceIsCalled() {
             target = TargetFixture.service();
             FakeConnection entry = target.connect();
             target.submitToService(entry);
@@ -72,10 +72,10 @@
             assertThat(entry.next(Message.Finished.class).chunks()).isEqualTo(1);
         }
 
-        // The engine dies between two events and its connection closes in good order. Passed on as
-        // an end, the caller would take half an approval note for a whole one.
+        // Guards against reporting a truncated answer as complete when the engine crashes between
+        // two events and its connection closes properly.
         @Test
-        void shouldSayCutWhenAStreamEndsWithoutItsEndMark() {
+        void shouldFailAsCutWhenStreamEndsWithoutEndMarker() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -87,9 +87,9 @@
             assertThat(failed.ran()).isEqualTo(Ran.YES);
         }
 
-        // A caller reads slowly. Without a stop its whole answer would pile up in the entry daemon.
+        // Guards against the answer to a slow caller accumulating in the entry daemon.
         @Test
-        void shouldStopReadingWhenCreditIsSpentAndGoOnWhenThereIsMore() throws Exception {
+        void shouldPauseReadingWhenCreditIsSpentAndResumeWhenCreditIsGranted() throws Exception {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             Message.Submit submit = target.submit(entry, TargetFixture.MODEL, true, 5_000, 10);
@@ -98,7 +98,7 @@
             call.head(200, EVENTS).bytes("data: 0123456789\n\n");
             assertThat(call.awaitPaused()).isTrue();
 
-            target.tell(entry, new Message.Credit(submit.attempt(), 100));
+            target.deliver(entry, new Message.Credit(submit.attempt(), 100));
             assertThat(call.isPaused()).isFalse();
             call.bytes(LAST_EVENT).end();
             assertThat(entry.next(Message.Finished.class).chunks()).isEqualTo(2);
@@ -109,7 +109,7 @@
     class NotRun {
 
         @Test
-        void shouldRefuseWhenTheEngineSaysThatItDidNotRun() {
+        void shouldRefuseWhenEngineReportsThatRequestDidNotRun() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -124,10 +124,10 @@
                     .isEqualTo(ErrorCode.MODEL_NOT_RESIDENT);
         }
 
-        // Something between target and engine answers 503. Only the engine's own words mean that
-        // the request did not run; anything else is passed on as the answer it is.
+        // Guards against taking a 503 from a proxy between target and engine for a refusal. Only
+        // the engine's own error codes show that the request did not run; others are forwarded.
         @Test
-        void shouldPassAnErrorOnWhenItIsNotTheEnginesOwnRefusal() {
+        void shouldForwardErrorWhenItIsNotARefusalByTheEngine() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -139,7 +139,7 @@
         }
 
         @Test
-        void shouldSayUnknownWhenTheConnectionBreaksBeforeTheAnswer() {
+        void shouldReportUnknownOutcomeWhenConnectionBreaksBeforeAnswer() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -151,35 +151,35 @@
             assertThat(failed.ran()).isEqualTo(Ran.UNKNOWN);
         }
 
-        // The caller cancels while its request waits behind another, and the slot becomes free at
-        // the same moment. It must not start after it was said not to have run.
+        // Guards against starting a request that was reported as not run: the caller cancels it
+        // while it is queued, and a slot becomes free at the same time.
         @Test
-        void shouldNeverStartWhenCancelledWhileWaiting() {
+        void shouldNotStartWhenCancelledWhileQueued() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
             FakeHttp.Call first = target.http.nextCall();
             Message.Submit second = target.submit(entry, TargetFixture.MODEL);
 
-            target.tell(entry, new Message.Cancel(second.attempt()));
+            target.deliver(entry, new Message.Cancel(second.attempt()));
             first.head(200, EVENTS).bytes(LAST_EVENT).end();
 
             Message.Refused refused = entry.next(Message.Refused.class);
             assertThat(refused.attempt()).isEqualTo(second.attempt());
             assertThat(refused.code()).isEqualTo(ErrorCode.CANCELLED_BEFORE_START);
             entry.next(Message.Finished.class);
-            assertThat(target.http.isQuiet()).isTrue();
+            assertThat(target.http.hasNoCalls()).isTrue();
         }
 
         @Test
-        void shouldCloseTheEnginesConnectionWhenCancelledWhileRunning() {
+        void shouldCloseEngineConnectionWhenCancelledWhileRunning() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             Message.Submit submit = target.submit(entry, TargetFixture.MODEL);
             FakeHttp.Call call = target.http.nextCall();
             call.head(200, EVENTS);
 
-            target.tell(entry, new Message.Cancel(submit.attempt()));
+            target.deliver(entry, new Message.Cancel(submit.attempt()));
 
             Message.Failed failed = entry.next(Message.Failed.class);
             assertThat(failed.code()).isEqualTo(ErrorCode.CANCELLED);
@@ -187,7 +187,7 @@
         }
 
         @Test
-        void shouldRefuseWhenTheWaitLimitPassesInTheQueue() {
+        void shouldRefuseWhenWaitLimitExpiresInQueue() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -199,34 +199,35 @@
                     .isEqualTo(ErrorCode.DEADLINE_BEFORE_START);
         }
 
-        // The process freezes after it decided to start a request and before the first byte goes
-        // out. When it wakes, the wait limit has passed and the caller has been answered; the
-        // request must not run now. The refusal of the second request shows that time has passed.
+        // Guards against running a request whose caller has been answered: the process is suspended
+        // between the decision to start and the first byte, and resumes after the wait limit. The
+        // refusal of the second request shows that the limit has passed.
         @Test
-        void shouldNotSendWhenTheWaitLimitPassedBetweenStartAndFirstByte() throws Exception {
+        void shouldNotSendWhenWaitLimitExpiresBetweenStartAndFirstByte() throws Exception {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
-            target.http.hold();
-            Message.Submit frozen = target.submit(entry, TargetFixture.MODEL, false, 4_000, 1_000);
-            assertThat(target.http.awaitHeld()).isTrue();
+            target.http.holdConnections();
+            Message.Submit suspended =
+                    target.submit(entry, TargetFixture.MODEL, false, 4_000, 1_000);
+            assertThat(target.http.awaitHeldConnection()).isTrue();
             Message.Submit later = target.submit(entry, TargetFixture.MODEL, false, 4_000, 1_000);
-            Message.Refused timeHasPassed = entry.next(Message.Refused.class);
-            assertThat(timeHasPassed.attempt()).isEqualTo(later.attempt());
-            assertThat(timeHasPassed.code()).isEqualTo(ErrorCode.DEADLINE_BEFORE_START);
+            Message.Refused laterRefused = entry.next(Message.Refused.class);
+            assertThat(laterRefused.attempt()).isEqualTo(later.attempt());
+            assertThat(laterRefused.code()).isEqualTo(ErrorCode.DEADLINE_BEFORE_START);
 
-            target.http.release();
+            target.http.releaseConnections();
 
             Message.Refused refused = entry.next(Message.Refused.class);
-            assertThat(refused.attempt()).isEqualTo(frozen.attempt());
+            assertThat(refused.attempt()).isEqualTo(suspended.attempt());
             assertThat(refused.code()).isEqualTo(ErrorCode.DEADLINE_BEFORE_START);
-            assertThat(target.http.isQuiet()).isTrue();
+            assertThat(target.http.hasNoCalls()).isTrue();
         }
 
-        // With the log out this process has no fencing number, so it must not order a load; the
-        // caller is told at once instead of waiting for a model that can't come.
+        // Guards against a request waiting for a model that can't be loaded: while the log is
+        // unavailable the process has no fencing number and must not order a load.
         @Test
-        void shouldRefuseAtOnceWhenTheModelIsMissingAndTheLogIsOut() {
-            target = TargetFixture.engineWithLogOut();
+        void shouldRefuseImmediatelyWhenModelIsMissingAndLogIsUnavailable() {
+            target = TargetFixture.engineWithUnavailableLog();
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
 
@@ -239,36 +240,36 @@
     @Nested
     class LostConnections {
 
-        // The entry daemon dies. An idempotent request is stopped, since it will be asked again
-        // elsewhere; one that may run once only is left to finish rather than broken off half-way.
+        // Guards against breaking off a request that is not idempotent when the entry daemon fails.
+        // An idempotent request is cancelled, since it will be retried elsewhere.
         @Test
-        void shouldStopOnlyWhatMayRunAgainWhenTheEntryIsLost() {
+        void shouldCancelOnlyIdempotentRequestsWhenEntryConnectionIsLost() {
             target = TargetFixture.engine(2);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL, true, 5_000, 1_000);
-            FakeHttp.Call repeatable = target.http.nextCall();
+            FakeHttp.Call idempotent = target.http.nextCall();
             target.submit(entry, TargetFixture.MODEL, false, 5_000, 1_000);
-            FakeHttp.Call once = target.http.nextCall();
+            FakeHttp.Call notIdempotent = target.http.nextCall();
             FakeConnection other = target.connect();
 
             target.disconnect(entry);
-            target.tell(other, new Message.LoadQuery());
+            target.deliver(other, new Message.LoadQuery());
             other.next(Message.LoadReport.class);
             other.next(Message.LoadReport.class);
 
-            assertThat(repeatable.isCancelled()).isTrue();
-            assertThat(once.isCancelled()).isFalse();
-            once.head(200, EVENTS).bytes(LAST_EVENT).end();
+            assertThat(idempotent.isCancelled()).isTrue();
+            assertThat(notIdempotent.isCancelled()).isFalse();
+            notIdempotent.head(200, EVENTS).bytes(LAST_EVENT).end();
         }
     }
 
     @Nested
     class Leaving {
 
-        // An operator stops the process while an answer streams. The stream ends whole, new work is
-        // refused as not run, and the process says so before the caller notices anything.
+        // Guards against a planned stop that truncates a streaming answer: the stream completes,
+        // new requests are refused as not run, and the process announces that it is leaving first.
         @Test
-        void shouldFinishWhatRunsAndRefuseWhatIsNewWhenStopped() throws Exception {
+        void shouldFinishRunningRequestsAndRefuseNewOnesWhenStopped() throws Exception {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -288,21 +289,21 @@
         }
 
         @Test
-        void shouldSayUnknownWhenTheTimeForAStopIsOver() throws Exception {
+        void shouldReportUnknownOutcomeWhenDrainDeadlineExpires() throws Exception {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
             target.http.nextCall();
 
-            boolean whole =
+            boolean drained =
                     CompletableFuture.supplyAsync(target.role::drain).get(10, TimeUnit.SECONDS);
 
-            assertThat(whole).isFalse();
+            assertThat(drained).isFalse();
             assertThat(entry.next(Message.Failed.class).ran()).isEqualTo(Ran.UNKNOWN);
         }
 
         @Test
-        void shouldLeaveWhenAnOperatorAsksAndComeBackWhenItIsTakenBack() {
+        void shouldLeaveWhenOperatorRequestsDrainAndReturnWhenRequestIsWithdrawn() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
 
@@ -316,8 +317,8 @@
             target.log.append(
                     LogStream.OWNERSHIP,
                     new LogEntry.DrainRequested(TargetFixture.TARGET, false, "ana"));
-            Message.LoadReport back = entry.next(Message.LoadReport.class);
-            assertThat(back.load().leaving()).isFalse();
+            Message.LoadReport afterWithdrawal = entry.next(Message.LoadReport.class);
+            assertThat(afterWithdrawal.load().leaving()).isFalse();
         }
 
         private LogEntry.CountersPublished lastCounters() {
@@ -330,7 +331,7 @@
     class Orders {
 
         @Test
-        void shouldWriteAnIntentBeforeEachOrderWhenTheEngineIgnoresFencing() {
+        void shouldLogIntentBeforeEachOrderWhenEngineIgnoresFencing() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -347,10 +348,10 @@
                                     .toList());
         }
 
-        // Both models do not fit at once. Both callers get their answers: the idle one is unloaded
-        // for the other, and never while a request runs on it.
+        // Guards against unloading a model while a request runs on it: memory holds only one of two
+        // models, and the idle one is unloaded for the other.
         @Test
-        void shouldSwapModelsWhenTheyDoNotFitTogether() {
+        void shouldSwapModelsWhenMemoryDoesNotHoldBoth() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
@@ -366,7 +367,7 @@
         }
 
         @Test
-        void shouldRefuseAsUnavailableWhenTheEngineIsUnreachable() {
+        void shouldRefuseAsUnavailableWhenEngineIsUnreachable() {
             target = TargetFixture.engine(1);
             FakeConnection entry = target.connect();
             target.submit(entry, TargetFixture.MODEL);
