--- a/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/EndRecord.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/EndRecord.java
@@ -14,11 +14,12 @@
 import org.tamaracktrack.link.codec.Trees;
 
 /**
- * The record of a target that ended under a request. Its key names both, so that two daemons that
- * write at once lose nothing of each other, and one end told twice counts once.
+ * The stored record of a target that ended during a request. Its key contains both, so that
+ * concurrent writes by two daemons do not overwrite each other, and an end that is written twice
+ * counts once.
  *
  * @param end the request and the target
- * @param atMillis when, by the time of day
+ * @param atMillis the time of day of the end, in milliseconds since the epoch
  */
 record EndRecord(TargetEnd end, long atMillis) {
     private static final Pattern KEY = Pattern.compile("([0-9a-f]{32})/(.+)@(-?[0-9]{1,18})");
@@ -33,8 +34,8 @@
         return end.request() + "/" + end.target();
     }
 
-    /** Decodes a key; whether the target ran the request is not known from it. */
-    static Optional<TargetEnd> end(String key) {
+    /** Decodes a key, which does not include whether the target ran the request. */
+    static Optional<TargetEnd> parseKey(String key) {
         Matcher parts = KEY.matcher(key);
         if (!parts.matches()) {
             return Optional.empty();
@@ -48,7 +49,7 @@
                             new TargetIncarnation(target, startedAtMillis),
                             false));
         } catch (TamaracktrackException unreadable) {
-            // Another writer's key; the exchange logs it.
+            // The key has another format; the exchange logs it.
             return Optional.empty();
         }
     }
@@ -58,7 +59,7 @@
     }
 
     static Optional<EndRecord> of(String key, byte[] value) {
-        return end(key).flatMap(end -> Trees.parse(value).flatMap(fields -> of(end, fields)));
+        return parseKey(key).flatMap(end -> Trees.parse(value).flatMap(fields -> of(end, fields)));
     }
 
     private static Optional<EndRecord> of(TargetEnd end, JsonNode fields) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/QuarantineExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/QuarantineExchange.java
@@ -25,32 +25,32 @@
 import org.tamaracktrack.link.topic.TopicPart;
 
 /**
- * Brings every daemon to know under which requests targets end. No daemon sees all attempts of a
- * request that comes again; what each sees is kept in the store, where daemons that start later
- * find it too. On the control thread, but where it says otherwise.
+ * Shares between all daemons the requests during which targets ended. No daemon sees all attempts
+ * of a request that is repeated, so each writes the ends that it sees to the store, from which
+ * daemons that start later read them too. Confined to the control thread, unless stated otherwise.
  */
 public final class QuarantineExchange implements EndsListener, KeyedFollower.Listener {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.quarantine");
 
-    /** Ends at one moment are written by one call. */
-    private static final long WRITE_EVERY_MILLIS = 200;
+    /** Period of writes, so that ends close together are written by one call. */
+    private static final long WRITE_PERIOD_MILLIS = 200;
 
-    private static final long EXPIRE_EVERY_MILLIS = 30_000;
+    private static final long EXPIRY_PERIOD_MILLIS = 30_000;
 
-    /** A record takes some 200 bytes, and a call may have some megabytes. */
-    private static final int MOST_RECORDS_A_CALL = 1_000;
+    /** A record has about 200 bytes, and a call may have several megabytes. */
+    private static final int MAXIMUM_RECORDS_PER_CALL = 1_000;
 
-    /** What can't be written for long is given up, the oldest first. */
-    private static final int MOST_UNWRITTEN = 10_000;
+    /** Limit of records kept while the store can't be written; the oldest are dropped first. */
+    private static final int MAXIMUM_UNWRITTEN_RECORDS = 10_000;
 
     private final TopicClient topics;
     private final TopicPart part;
     private final ControlThread control;
-    private final BooleanSupplier expires;
-    private final Consumer<Quarantine> changed;
-    private final QuarantineRegister register = QuarantineRegister.empty();
+    private final BooleanSupplier mayExpire;
+    private final Consumer<Quarantine> listener;
+    private final QuarantineRegister quarantineRegister = QuarantineRegister.empty();
     private final Map<String, Optional<byte[]>> unwritten = new LinkedHashMap<>();
-    private final Map<String, EndRecord> written = LruMap.of(MOST_UNWRITTEN);
+    private final Map<String, EndRecord> writtenRecords = LruMap.of(MAXIMUM_UNWRITTEN_RECORDS);
     private volatile Quarantine quarantine = Quarantine.empty();
     private boolean writing;
 
@@ -58,44 +58,44 @@
             TopicClient topics,
             TopicPart part,
             ControlThread control,
-            BooleanSupplier expires,
-            Consumer<Quarantine> changed) {
+            BooleanSupplier mayExpire,
+            Consumer<Quarantine> listener) {
         this.topics = topics;
         this.part = part;
         this.control = control;
-        this.expires = expires;
-        this.changed = changed;
+        this.mayExpire = mayExpire;
+        this.listener = listener;
     }
 
     /**
      * Starts an exchange.
      *
      * @param topics the store
-     * @param part where ends are kept, the newest record of each key
-     * @param control the thread that it belongs to
-     * @param expires whether this daemon is the one that removes what is too old
-     * @param changed takes the requests that targets have ended under, whenever they change
+     * @param part the partition of ends, of which the store keeps the newest record of each key
+     * @param control the thread that the exchange is confined to
+     * @param mayExpire returns whether this daemon is the one that removes expired ends
+     * @param listener receives the quarantine whenever it changes
      * @return the exchange
      */
     public static QuarantineExchange start(
             TopicClient topics,
             TopicPart part,
             ControlThread control,
-            BooleanSupplier expires,
-            Consumer<Quarantine> changed) {
+            BooleanSupplier mayExpire,
+            Consumer<Quarantine> listener) {
         Objects.requireNonNull(topics, "topics is null");
-        Objects.requireNonNull(changed, "changed is null");
+        Objects.requireNonNull(listener, "listener is null");
         QuarantineExchange exchange =
-                new QuarantineExchange(topics, part, control, expires, changed);
-        control.every(WRITE_EVERY_MILLIS, exchange::write);
-        control.every(EXPIRE_EVERY_MILLIS, exchange::expire);
+                new QuarantineExchange(topics, part, control, mayExpire, listener);
+        control.every(WRITE_PERIOD_MILLIS, exchange::write);
+        control.every(EXPIRY_PERIOD_MILLIS, exchange::expire);
         return exchange;
     }
 
     /**
-     * Returns the requests that targets have ended under. May be asked by any thread.
+     * Returns the requests during which targets ended. Safe for use by any thread.
      *
-     * @return the requests, and which of them are sent to no target
+     * @return the suspects and the held requests, which are not sent to any target
      */
     public Quarantine quarantine() {
         return quarantine;
@@ -104,39 +104,39 @@
     /** Safe for use by any thread. */
     @Override
     public void onEnded(List<TargetEnd> ends) {
-        control.post(() -> ended(ends));
+        control.post(() -> recordEnds(ends));
     }
 
     /** Safe for use by any thread. */
     @Override
     public void onAnswered(RequestFingerprint request) {
-        control.post(() -> forget(register.removeAll(request)));
+        control.post(() -> enqueueRemovals(quarantineRegister.removeAll(request)));
     }
 
-    private void ended(List<TargetEnd> ends) {
+    private void recordEnds(List<TargetEnd> ends) {
         long nowMillis = System.currentTimeMillis();
         ends.stream()
-                .filter(end -> register.add(end, nowMillis))
+                .filter(end -> quarantineRegister.add(end, nowMillis))
                 .map(end -> new EndRecord(end, nowMillis))
-                .forEach(this::toWrite);
-        tell();
+                .forEach(this::enqueueWrite);
+        publishIfChanged();
     }
 
-    private void toWrite(EndRecord record) {
+    private void enqueueWrite(EndRecord record) {
         String key = EndRecord.key(record.end());
-        written.put(key, record);
-        toWrite(key, Optional.of(record.value()));
+        writtenRecords.put(key, record);
+        enqueueWrite(key, Optional.of(record.value()));
     }
 
-    private void forget(List<TargetEnd> ends) {
-        ends.forEach(end -> toWrite(EndRecord.key(end), Optional.empty()));
-        tell();
+    private void enqueueRemovals(List<TargetEnd> ends) {
+        ends.forEach(end -> enqueueWrite(EndRecord.key(end), Optional.empty()));
+        publishIfChanged();
     }
 
-    private void toWrite(String key, Optional<byte[]> value) {
+    private void enqueueWrite(String key, Optional<byte[]> value) {
         unwritten.remove(key);
         unwritten.put(key, value);
-        if (unwritten.size() > MOST_UNWRITTEN) {
+        if (unwritten.size() > MAXIMUM_UNWRITTEN_RECORDS) {
             String oldest = unwritten.keySet().iterator().next();
             unwritten.remove(oldest);
             LOG.warn("event=end-not-written key=" + oldest);
@@ -144,8 +144,8 @@
     }
 
     private void expire() {
-        if (expires.getAsBoolean()) {
-            forget(register.expire(System.currentTimeMillis()));
+        if (mayExpire.getAsBoolean()) {
+            enqueueRemovals(quarantineRegister.expire(System.currentTimeMillis()));
         }
     }
 
@@ -156,18 +156,18 @@
         writing = true;
         Map<String, Optional<byte[]>> batch = new LinkedHashMap<>();
         unwritten.entrySet().stream()
-                .limit(MOST_RECORDS_A_CALL)
+                .limit(MAXIMUM_RECORDS_PER_CALL)
                 .forEach(entry -> batch.put(entry.getKey(), entry.getValue()));
         List<byte[]> records =
                 batch.entrySet().stream()
                         .map(entry -> topics.keyed(entry.getKey(), entry.getValue()))
                         .collect(Collectors.toList());
         topics.append(part, records, OptionalLong.empty())
-                .thenAccept(answer -> control.post(() -> written(batch, answer)));
+                .thenAccept(answer -> control.post(() -> onWritten(batch, answer)));
     }
 
-    // Written twice a record says the same, so what may not have been written is written again.
-    private void written(Map<String, Optional<byte[]>> batch, TopicAnswer<Long> answer) {
+    // Writes are idempotent, so records that may not have been written are written again.
+    private void onWritten(Map<String, Optional<byte[]>> batch, TopicAnswer<Long> answer) {
         writing = false;
         if (answer instanceof TopicAnswer.Done<Long>) {
             batch.forEach(unwritten::remove);
@@ -176,75 +176,75 @@
         }
     }
 
-    // A listing that lacks what this daemon wrote comes from a store that went back to a copy.
+    // A listing without records that this daemon wrote comes from a store restored from a copy.
     @Override
     public void onListing(List<KeyedRecord> records) {
         onRecords(records);
         Set<String> listed = records.stream().map(KeyedRecord::key).collect(Collectors.toSet());
-        List<EndRecord> lost =
-                written.values().stream()
+        List<EndRecord> missing =
+                writtenRecords.values().stream()
                         .filter(record -> !listed.contains(EndRecord.key(record.end())))
-                        .filter(record -> register.contains(record.end()))
+                        .filter(record -> quarantineRegister.contains(record.end()))
                         .collect(Collectors.toList());
-        lost.forEach(this::toWrite);
-        if (!lost.isEmpty()) {
-            LOG.warn("event=ends-written-again records=" + lost.size());
+        missing.forEach(this::enqueueWrite);
+        if (!missing.isEmpty()) {
+            LOG.warn("event=ends-written-again records=" + missing.size());
         }
     }
 
     @Override
     public void onRecords(List<KeyedRecord> records) {
-        records.forEach(this::take);
-        tell();
+        records.forEach(this::applyRecord);
+        publishIfChanged();
     }
 
-    private void take(KeyedRecord record) {
+    private void applyRecord(KeyedRecord record) {
         if (unwritten.containsKey(record.key())) {
-            // What this daemon is about to write is newer.
+            // The pending write of this daemon is newer.
             return;
         }
-        Optional<EndRecord> known =
+        Optional<EndRecord> decoded =
                 record.value().flatMap(value -> EndRecord.of(record.key(), value));
-        known.ifPresent(end -> register.add(end.end(), end.atMillis()));
+        decoded.ifPresent(end -> quarantineRegister.add(end.end(), end.atMillis()));
         if (record.value().isEmpty()) {
-            EndRecord.end(record.key())
-                    .ifPresent(end -> register.remove(end.request(), end.target()));
-        } else if (known.isEmpty()) {
+            EndRecord.parseKey(record.key())
+                    .ifPresent(end -> quarantineRegister.remove(end.request(), end.target()));
+        } else if (decoded.isEmpty()) {
             LOG.warn("event=end-unreadable key=" + record.key() + " offset=" + record.offset());
         }
     }
 
-    private void tell() {
-        Quarantine newer = register.quarantine();
-        if (newer.equals(quarantine)) {
+    private void publishIfChanged() {
+        Quarantine newQuarantine = quarantineRegister.quarantine();
+        if (newQuarantine.equals(quarantine)) {
             return;
         }
-        Set<RequestFingerprint> before = quarantine.held();
-        newer.held().stream()
-                .filter(request -> !before.contains(request))
+        Set<RequestFingerprint> previouslyHeld = quarantine.held();
+        newQuarantine.held().stream()
+                .filter(request -> !previouslyHeld.contains(request))
                 .forEach(
                         request ->
                                 LOG.warn(
                                         "event=request-quarantined fingerprint="
                                                 + request
                                                 + " targets_ended="
-                                                + register.endCount(request)));
+                                                + quarantineRegister.endCount(request)));
         LOG.info(
                 "event=quarantine suspects="
-                        + newer.suspects().size()
+                        + newQuarantine.suspects().size()
                         + " held="
-                        + newer.held().size());
-        quarantine = newer;
-        changed.accept(newer);
+                        + newQuarantine.held().size());
+        quarantine = newQuarantine;
+        listener.accept(newQuarantine);
     }
 
     @Override
     public void onAway() {
-        // What is known holds; what is seen meanwhile is written when the store is back.
+        // The quarantine stays in force; new ends are written when the store is available again.
     }
 
     @Override
     public void onBack(long returnedAtMillis) {
-        // The records that follow bring it up to date.
+        // The records that follow bring the quarantine up to date.
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** What daemons tell each other, through the store, of requests under which targets end. */
+/** Exchange, through the store, of the requests during which targets ended. */
 package org.tamaracktrack.daemon.quarantine;
--- a/daemon/src/test/java/org/tamaracktrack/daemon/quarantine/QuarantineExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/quarantine/QuarantineExchangeTest.java
@@ -29,14 +29,18 @@
     private final MemoryLog log = new MemoryLog();
     private RelayPair pair;
     private QuarantineExchange exchange;
-    private volatile Quarantine told = Quarantine.empty();
+    private volatile Quarantine published = Quarantine.empty();
 
     @BeforeEach
     void start() throws IOException {
         pair = RelayPair.start();
         exchange =
                 QuarantineExchange.start(
-                        log, PART, pair.control(), () -> false, newer -> told = newer);
+                        log,
+                        PART,
+                        pair.control(),
+                        () -> false,
+                        newQuarantine -> published = newQuarantine);
     }
 
     @AfterEach
@@ -51,75 +55,79 @@
                 .collect(Collectors.toList());
     }
 
-    private List<KeyedRecord> written() {
+    private List<KeyedRecord> writtenRecords() {
         return IntStream.range(0, log.records().size())
                 .mapToObj(offset -> log.keyed(log.records().get(offset), offset).orElseThrow())
                 .collect(Collectors.toList());
     }
 
     @Test
-    void shouldHoldARequestAndWriteItsEndsDown() {
+    void shouldHoldRequestAndWriteItsEnds() {
         exchange.onEnded(ends(3));
 
-        pair.await(() -> told.held().contains(REQUEST));
+        pair.await(() -> published.held().contains(REQUEST));
         pair.await(() -> log.records().size() == 3);
     }
 
-    // Guards against ends that are known to one daemon only.
+    // Guards against ends that only one daemon counts.
     @Test
-    void shouldHoldARequestWhenOthersWroteItsEnds() {
+    void shouldHoldRequestWhenAnotherDaemonWroteItsEnds() {
         exchange.onEnded(ends(3));
         pair.await(() -> log.records().size() == 3);
-        Quarantine[] other = {Quarantine.empty()};
-        QuarantineExchange another =
+        Quarantine[] otherPublished = {Quarantine.empty()};
+        QuarantineExchange otherExchange =
                 QuarantineExchange.start(
-                        new MemoryLog(), PART, pair.control(), () -> false, now -> other[0] = now);
+                        new MemoryLog(),
+                        PART,
+                        pair.control(),
+                        () -> false,
+                        newQuarantine -> otherPublished[0] = newQuarantine);
 
-        pair.onControl(() -> another.onListing(written()));
+        pair.onControl(() -> otherExchange.onListing(writtenRecords()));
 
-        pair.await(() -> other[0].held().contains(REQUEST));
+        pair.await(() -> otherPublished[0].held().contains(REQUEST));
     }
 
-    // Guards against ends that are lost because the store was away.
+    // Guards against ends that are lost because the store was unavailable.
     @Test
-    void shouldWriteAgainWhenTheAnswerIsLost() {
+    void shouldRetryWriteWhenAnswerIsLost() {
         log.loseNextAnswer();
 
         exchange.onEnded(ends(1));
 
         pair.await(() -> log.records().size() == 2);
-        assertThat(written().get(0).key()).isEqualTo(written().get(1).key());
+        assertThat(writtenRecords().get(0).key()).isEqualTo(writtenRecords().get(1).key());
     }
 
     @Test
-    void shouldDropTheEndsWhenTheRequestIsAnswered() {
+    void shouldRemoveEndsWhenRequestIsAnswered() {
         exchange.onEnded(ends(2));
         pair.await(() -> log.records().size() == 2);
 
         exchange.onAnswered(REQUEST);
 
         pair.await(() -> log.records().size() == 4);
-        assertThat(told.isEmpty()).isTrue();
-        assertThat(written().get(3).value()).isEqualTo(Optional.empty());
+        assertThat(published.isEmpty()).isTrue();
+        assertThat(writtenRecords().get(3).value()).isEqualTo(Optional.empty());
     }
 
-    // Guards against an answer that is forgotten because the end was still being written.
+    // Guards against an end that stays stored because the request was answered during its write.
     @Test
-    void shouldDropAnEndThatWasBeingWrittenWhenTheRequestIsAnswered() {
-        CompletableFuture<Void> go = new CompletableFuture<>();
-        pair.onControl(() -> log.holdAppends(go));
+    void shouldRemoveEndWhoseWriteIsPendingWhenRequestIsAnswered() {
+        CompletableFuture<Void> release = new CompletableFuture<>();
+        pair.onControl(() -> log.holdAppends(release));
         exchange.onEnded(ends(1));
         pair.await(() -> log.records().size() == 1);
 
         exchange.onAnswered(REQUEST);
-        pair.onControl(() -> go.complete(null));
+        pair.onControl(() -> release.complete(null));
 
         pair.await(() -> log.records().size() == 2);
-        assertThat(written().get(1).value()).isEqualTo(Optional.empty());
+        assertThat(writtenRecords().get(1).value()).isEqualTo(Optional.empty());
     }
 
     @Test
-    void shouldPassOverARecordThatIsNoEnd() {
+    void shouldIgnoreRecordThatIsNotAnEnd() {
         pair.onControl(
                 () ->
                         exchange.onRecords(
@@ -127,6 +135,6 @@
                                         new KeyedRecord("other", Optional.of(new byte[] {1}), 0),
                                         new KeyedRecord("other", Optional.empty(), 1))));
 
-        assertThat(told.isEmpty()).isTrue();
+        assertThat(published.isEmpty()).isTrue();
     }
 }
