--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
@@ -287,8 +287,8 @@
                                 services.loads()
                                         .of(target)
                                         .recordPeerShare(share, services.nowMillis()));
-        thread.execute(() -> services.onLoadsChanged(exchange::changed));
-        return addresses -> thread.execute(() -> exchange.peers(addresses));
+        thread.execute(() -> services.onLoadsChanged(exchange::onLoadChanged));
+        return addresses -> thread.execute(() -> exchange.updatePeers(addresses));
     }
 
     /**
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/Datagrams.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/Datagrams.java
@@ -3,21 +3,21 @@
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
 
-/** Carries single messages that may be lost. */
+/** Sends and receives datagrams, which may be lost. */
 public interface Datagrams {
 
     /**
-     * Sends a message, or drops it when that is not possible now.
+     * Sends a message, or drops it if it can't be sent immediately.
      *
-     * @param target where to
-     * @param message its bytes
+     * @param address the address to send to
+     * @param message the bytes of the message
      */
-    void send(InetSocketAddress target, byte[] message);
+    void send(InetSocketAddress address, byte[] message);
 
     /**
-     * Names who takes messages.
+     * Sets the receiver of messages, which replaces the previous one.
      *
-     * @param receiver takes the sender's address and the bytes
+     * @param receiver called with the address of the sender and the bytes of each message
      */
     void onReceived(BiConsumer<InetSocketAddress, byte[]> receiver);
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/LoadExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/LoadExchange.java
@@ -15,38 +15,38 @@
 import org.tamaracktrack.core.fleet.TargetIncarnation;
 
 /**
- * Tells the peers of this daemon what it has at each target, as soon as that changes, and hears the
- * same of them. A message holds all that its sender has, so one that is lost is made good by the
- * next. On the traffic thread.
+ * Sends the load of this daemon at each target to its peers whenever it changes, and receives
+ * theirs. A message contains the complete load of its sender, so the next message makes up for a
+ * lost one. Confined to the traffic thread.
  */
 public final class LoadExchange {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.load");
 
-    /** Changes that come close together go out in one message. */
-    private static final long GATHER_MILLIS = 15;
+    /** Delay before a message is sent, so that changes close together are sent in one message. */
+    private static final long BATCH_DELAY_MILLIS = 15;
 
-    /** A message goes out no more often than this for each peer, so that many cost no more. */
-    private static final long GATHER_MILLIS_EACH_PEER = 2;
+    /** Additional delay per peer, so that the cost of sending does not grow with their number. */
+    private static final long BATCH_DELAY_PER_PEER_MILLIS = 2;
 
-    /** A daemon whose requests do not change says so this often, to show that it is there. */
-    private static final long REPEAT_MILLIS = 450;
+    /** Period after which an unchanged load is sent again, so that peers do not let it expire. */
+    private static final long REFRESH_MILLIS = 450;
 
     private final String process;
     private final Datagrams datagrams;
     private final Timer timer;
-    private final Supplier<Map<TargetIncarnation, LoadShare>> own;
-    private final BiConsumer<TargetIncarnation, LoadShare> others;
-    private final PeerLoadShares shares = PeerLoadShares.empty();
+    private final Supplier<Map<TargetIncarnation, LoadShare>> ownShares;
+    private final BiConsumer<TargetIncarnation, LoadShare> peerShareListener;
+    private final PeerLoadShares peerShares = PeerLoadShares.empty();
     private Set<InetSocketAddress> peers = Set.of();
-    private boolean gathering;
-    private boolean repeating;
+    private boolean sendScheduled;
+    private boolean refreshScheduled;
 
-    /** Runs tasks later, on the traffic thread. */
+    /** Schedules tasks on the traffic thread. */
     public interface Timer {
         /**
          * Runs a task after a delay.
          *
-         * @param delayMillis the delay
+         * @param delayMillis the delay in milliseconds
          * @param task the task
          */
         void after(long delayMillis, Runnable task);
@@ -63,89 +63,95 @@
             String process,
             Datagrams datagrams,
             Timer timer,
-            Supplier<Map<TargetIncarnation, LoadShare>> own,
-            BiConsumer<TargetIncarnation, LoadShare> others) {
+            Supplier<Map<TargetIncarnation, LoadShare>> ownShares,
+            BiConsumer<TargetIncarnation, LoadShare> peerShareListener) {
         this.process = process;
         this.datagrams = datagrams;
         this.timer = timer;
-        this.own = own;
-        this.others = others;
+        this.ownShares = ownShares;
+        this.peerShareListener = peerShareListener;
     }
 
     /**
-     * Starts an exchange without peers.
+     * Creates an exchange without peers and starts to receive messages.
      *
-     * @param process names this run of the process
-     * @param datagrams carries the messages
-     * @param timer runs what comes later
-     * @param own reads what this daemon has at targets
-     * @param others takes what the peers have together at a target
+     * @param process the name of this run of the process
+     * @param datagrams sends and receives the messages
+     * @param timer schedules messages
+     * @param ownShares returns the load of this daemon by target
+     * @param peerShareListener receives the total load of all peers at a target when it changes
      * @return the exchange
      */
     public static LoadExchange of(
             String process,
             Datagrams datagrams,
             Timer timer,
-            Supplier<Map<TargetIncarnation, LoadShare>> own,
-            BiConsumer<TargetIncarnation, LoadShare> others) {
+            Supplier<Map<TargetIncarnation, LoadShare>> ownShares,
+            BiConsumer<TargetIncarnation, LoadShare> peerShareListener) {
         Objects.requireNonNull(process, "process is null");
         Objects.requireNonNull(datagrams, "datagrams is null");
         Objects.requireNonNull(timer, "timer is null");
-        Objects.requireNonNull(own, "own is null");
-        Objects.requireNonNull(others, "others is null");
-        LoadExchange exchange = new LoadExchange(process, datagrams, timer, own, others);
-        datagrams.onReceived(exchange::received);
+        Objects.requireNonNull(ownShares, "ownShares is null");
+        Objects.requireNonNull(peerShareListener, "peerShareListener is null");
+        LoadExchange exchange =
+                new LoadExchange(process, datagrams, timer, ownShares, peerShareListener);
+        datagrams.onReceived(exchange::receive);
         return exchange;
     }
 
     /**
-     * Takes the peers.
+     * Replaces the peers and schedules a message to them.
      *
-     * @param newer where they are reached
+     * @param newPeers the addresses of the peers
      */
-    public void peers(List<InetSocketAddress> newer) {
-        peers = new HashSet<>(newer);
-        changed();
+    public void updatePeers(List<InetSocketAddress> newPeers) {
+        peers = new HashSet<>(newPeers);
+        onLoadChanged();
     }
 
-    /** What this daemon has at some target has changed. */
-    public void changed() {
-        if (!gathering && !peers.isEmpty()) {
-            gathering = true;
-            timer.after(GATHER_MILLIS + GATHER_MILLIS_EACH_PEER * peers.size(), this::gathered);
+    /** Schedules a message, because the load of this daemon at a target has changed. */
+    public void onLoadChanged() {
+        if (!sendScheduled && !peers.isEmpty()) {
+            sendScheduled = true;
+            timer.after(
+                    BATCH_DELAY_MILLIS + BATCH_DELAY_PER_PEER_MILLIS * peers.size(),
+                    this::sendAndScheduleRefresh);
         }
     }
 
-    private void gathered() {
-        gathering = false;
-        boolean something = tell();
-        if (something && !repeating) {
-            repeating = true;
-            timer.after(REPEAT_MILLIS, this::repeat);
+    private void sendAndScheduleRefresh() {
+        sendScheduled = false;
+        boolean hasLoad = sendShares();
+        if (hasLoad && !refreshScheduled) {
+            refreshScheduled = true;
+            timer.after(REFRESH_MILLIS, this::refresh);
         }
     }
 
-    private void repeat() {
-        repeating = false;
-        changed();
+    private void refresh() {
+        refreshScheduled = false;
+        onLoadChanged();
     }
 
-    private boolean tell() {
-        Map<TargetIncarnation, LoadShare> shared = own.get();
-        byte[] message = new LoadRecord(process, shared).encode();
+    private boolean sendShares() {
+        Map<TargetIncarnation, LoadShare> currentShares = ownShares.get();
+        byte[] message = new LoadRecord(process, currentShares).encode();
         peers.forEach(peer -> datagrams.send(peer, message));
-        return !shared.isEmpty();
+        return !currentShares.isEmpty();
     }
 
-    private void received(InetSocketAddress from, byte[] message) {
+    private void receive(InetSocketAddress from, byte[] message) {
         if (!peers.contains(from)) {
             return;
         }
         try {
-            LoadRecord said = LoadRecord.decode(message);
-            shares.update(said.process(), said.shares(), timer.nowMillis()).forEach(others);
+            LoadRecord record = LoadRecord.decode(message);
+            peerShares
+                    .update(record.process(), record.shares(), timer.nowMillis())
+                    .forEach(peerShareListener);
         } catch (TamaracktrackException unreadable) {
-            // A peer of another version; its requests show in the targets' own word.
+            // The peer runs another version; its load is still included in the targets' load
+            // reports.
             LOG.info("event=load-unreadable from=" + from);
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/LoadRecord.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/LoadRecord.java
@@ -16,10 +16,10 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * The requests that one daemon has at targets.
+ * The datagram with the load of one daemon at targets, encoded by position.
  *
- * @param process the process that says so
- * @param shares the requests by target; targets that are not named have none
+ * @param process the name of the process run that sends it
+ * @param shares the load by target; the daemon has no requests at targets that are absent
  */
 record LoadRecord(String process, Map<TargetIncarnation, LoadShare> shares) {
     private static final int FIELDS = 4;
@@ -59,14 +59,16 @@
             }
             return new LoadRecord(process, shares);
         } catch (IOException | MessagePackException unreadable) {
-            throw TamaracktrackException.of(ErrorCode.BAD_FRAME, "not a load", unreadable);
+            throw TamaracktrackException.of(
+                    ErrorCode.BAD_FRAME, "load datagram can't be decoded", unreadable);
         }
     }
 
     private static int count(MessageUnpacker unpacker) throws IOException {
         int count = unpacker.unpackInt();
         if (count < 0) {
-            throw TamaracktrackException.of(ErrorCode.BAD_FRAME, "a load is less than nothing");
+            throw TamaracktrackException.of(
+                    ErrorCode.BAD_FRAME, "load datagram contains a negative count");
         }
         return count;
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
@@ -18,44 +18,44 @@
 import org.tamaracktrack.link.topic.TopicPart;
 
 /**
- * Finds the peers of this daemon: each daemon tells the holder of the lease where it is reached,
- * which passes the list on, and says at each tick that it still holds. Without a holder the last
- * peers stay in use. On the control thread.
+ * Discovers the peers of this daemon. Each daemon reports its address to the holder of the lease.
+ * The holder sends the list of daemons to all and confirms it at each tick. Without a holder the
+ * last peers stay in use. Confined to the control thread.
  */
 public final class PeerDirectory {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.load");
 
     private static final long TICK_MILLIS = 500;
 
-    /** A daemon that has said nothing for this long is taken off the list. */
-    private static final long SILENT_MILLIS = 2_500;
+    /** Time after the last report of a daemon at which it is removed from the list. */
+    private static final long EXPIRY_MILLIS = 2_500;
 
     private final Peer self;
     private final TopicPart part;
     private final RecordRelay relay;
     private final Listener listener;
-    private final Map<Peer, Long> heardAtMillis = new HashMap<>();
+    private final Map<Peer, Long> lastReportAtMillis = new HashMap<>();
     private Set<Peer> published = Set.of();
     private Optional<Set<Peer>> listed = Optional.empty();
     private volatile Set<Peer> selected = Set.of();
-    private boolean newcomer;
+    private boolean followerJoined;
 
-    /** Hears of the daemons, on the control thread. */
+    /** Receives the discovered daemons, on the control thread. */
     public interface Listener {
         /**
-         * The peers of this daemon have changed.
+         * Called when the peers of this daemon have changed.
          *
-         * @param peers the peers
+         * @param peers the new peers
          */
         void onPeers(List<Peer> peers);
 
         /**
-         * This daemon is on the holder's list.
+         * Called when the list of the holder is confirmed and includes this daemon.
          *
-         * @param daemons how many daemons are on it
-         * @param atMillis a time, by the steady clock of this process, at which it was still true
+         * @param daemonCount the number of daemons on the list
+         * @param atMillis the monotonic time of this process at which the list was still valid
          */
-        void onListed(int daemons, long atMillis);
+        void onListed(int daemonCount, long atMillis);
     }
 
     private PeerDirectory(Peer self, TopicPart part, RecordRelay relay, Listener listener) {
@@ -69,10 +69,10 @@
      * Starts a directory.
      *
      * @param self this daemon
-     * @param part names what is passed on; nothing is ever appended to it
-     * @param relay passes it on
-     * @param control the thread that it belongs to
-     * @param listener hears of the daemons
+     * @param part the partition name under which lists are relayed; nothing is appended to it
+     * @param relay relays reports to the holder and lists to the other daemons
+     * @param control the thread that the directory is confined to
+     * @param listener receives the discovered daemons
      * @return the directory
      */
     public static PeerDirectory start(
@@ -84,39 +84,39 @@
         Objects.requireNonNull(self, "self is null");
         Objects.requireNonNull(listener, "listener is null");
         PeerDirectory directory = new PeerDirectory(self, part, relay, listener);
-        control.post(directory::listen);
+        control.post(directory::registerListeners);
         control.every(TICK_MILLIS, directory::tick);
         return directory;
     }
 
     /**
-     * Returns with how many daemons this one exchanges loads. May be asked by any thread.
+     * Returns the number of daemons that this one exchanges loads with. Safe for use by any thread.
      *
      * @return the number of its peers
      */
-    public int peers() {
+    public int peerCount() {
         return selected.size();
     }
 
-    private void listen() {
-        relay.onTold(part, this::told);
-        relay.onRecords(part, new FromHolder());
-        relay.onFollower(() -> newcomer = true);
+    private void registerListeners() {
+        relay.onTold(part, this::receiveReport);
+        relay.onRecords(part, new HolderReader());
+        relay.onFollower(() -> followerJoined = true);
     }
 
-    private final class FromHolder implements RecordRelay.Reader {
+    private final class HolderReader implements RecordRelay.Reader {
         @Override
-        public void onBatch(RecordBatch batch, long wholeAtMillis) {
+        public void onBatch(RecordBatch batch, long completeAtMillis) {
             batch.records().stream()
                     .flatMap(bytes -> decode(bytes).stream())
                     .forEach(PeerDirectory.this::select);
-            if (wholeAtMillis != Message.Records.UNKNOWN_MILLIS) {
+            if (completeAtMillis != Message.Records.UNKNOWN_MILLIS) {
                 listed.filter(list -> list.contains(self))
-                        .ifPresent(list -> listener.onListed(list.size(), wholeAtMillis));
+                        .ifPresent(list -> listener.onListed(list.size(), completeAtMillis));
             }
         }
 
-        // Peers are found again through the next holder; until then the last ones stay.
+        // The last peers stay selected until the next holder sends a list.
         @Override
         public void onLost() {
             listed = Optional.empty();
@@ -125,37 +125,42 @@
 
     private void tick() {
         if (!relay.holding()) {
-            heardAtMillis.clear();
+            lastReportAtMillis.clear();
             published = Set.of();
             relay.tell(part, PeerRecord.encode(Set.of(self)));
             return;
         }
         long nowMillis = ControlThread.nowMillis();
-        heardAtMillis.put(self, nowMillis);
-        heardAtMillis.values().removeIf(heard -> nowMillis - heard > SILENT_MILLIS);
-        Set<Peer> known = Set.copyOf(heardAtMillis.keySet());
-        boolean anew = newcomer || !known.equals(published);
-        List<byte[]> list = anew ? List.of(PeerRecord.encode(known)) : List.of();
+        lastReportAtMillis.put(self, nowMillis);
+        lastReportAtMillis
+                .values()
+                .removeIf(reportedAtMillis -> nowMillis - reportedAtMillis > EXPIRY_MILLIS);
+        Set<Peer> known = Set.copyOf(lastReportAtMillis.keySet());
+        boolean sendList = followerJoined || !known.equals(published);
+        List<byte[]> list = sendList ? List.of(PeerRecord.encode(known)) : List.of();
         relay.publish(part, new RecordBatch(0, list, 1));
-        if (anew) {
-            newcomer = false;
+        if (sendList) {
+            followerJoined = false;
             published = known;
             select(known);
         }
         listener.onListed(known.size(), nowMillis);
     }
 
-    private void told(byte[] bytes) {
+    private void receiveReport(byte[] bytes) {
         long nowMillis = ControlThread.nowMillis();
-        decode(bytes).ifPresent(said -> said.forEach(peer -> heardAtMillis.put(peer, nowMillis)));
+        decode(bytes)
+                .ifPresent(
+                        reported ->
+                                reported.forEach(peer -> lastReportAtMillis.put(peer, nowMillis)));
     }
 
     private void select(Set<Peer> known) {
         listed = Optional.of(known);
         List<Peer> peers = PeerSelection.peersOf(self, known);
-        Set<Peer> newer = Set.copyOf(peers);
-        if (!newer.equals(selected)) {
-            selected = newer;
+        Set<Peer> newlySelected = Set.copyOf(peers);
+        if (!newlySelected.equals(selected)) {
+            selected = newlySelected;
             LOG.info(
                     "event=peers known="
                             + known.size()
@@ -169,7 +174,7 @@
         try {
             return Optional.of(PeerRecord.decode(bytes));
         } catch (TamaracktrackException unreadable) {
-            // Only our own daemons say this; one of another version has no peers among ours.
+            // Only daemons send this; one that runs another version is not accepted as a peer.
             LOG.info("event=peers-unreadable problem=\"" + unreadable.getMessage() + '"');
             return Optional.empty();
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerRecord.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerRecord.java
@@ -13,7 +13,7 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.id.DataCentreId;
 
-/** Writes down daemons that exchange loads. */
+/** Encodes and decodes the set of daemons that exchange loads, by position. */
 final class PeerRecord {
     private PeerRecord() {}
 
@@ -44,7 +44,8 @@
             }
             return peers;
         } catch (IOException | MessagePackException unreadable) {
-            throw TamaracktrackException.of(ErrorCode.BAD_FRAME, "not peers", unreadable);
+            throw TamaracktrackException.of(
+                    ErrorCode.BAD_FRAME, "peer list can't be decoded", unreadable);
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/UdpDatagrams.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/UdpDatagrams.java
@@ -14,21 +14,22 @@
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
 
-/** Messages over UDP, on a thread of the given worker. */
+/** Sends and receives datagrams over UDP, on a thread of the given worker. */
 public final class UdpDatagrams implements Datagrams {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.load");
 
-    /** The largest message; longer ones are cut by the network and dropped as unreadable. */
-    private static final int MOST_BYTES = 8 * 1024;
+    /** Largest message; longer ones are truncated on receipt and dropped as undecodable. */
+    private static final int MAXIMUM_MESSAGE_BYTES = 8 * 1024;
 
-    /** Messages taken at one wake-up, so that a flood leaves time for requests. */
-    private static final int MOST_AT_ONCE = 64;
+    /** Limit of messages per read event, so that a flood does not delay requests. */
+    private static final int MAXIMUM_MESSAGES_PER_READ = 64;
 
-    /** Two processes at one address would each get a part of the messages. */
-    private static final OptionMap EXCLUSIVE = OptionMap.create(Options.REUSE_ADDRESSES, false);
+    /** Prevents two processes at one address, which would each receive a part of the messages. */
+    private static final OptionMap EXCLUSIVE_ADDRESS =
+            OptionMap.create(Options.REUSE_ADDRESSES, false);
 
     private final MulticastMessageChannel channel;
-    private final ByteBuffer buffer = ByteBuffer.allocate(MOST_BYTES);
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAXIMUM_MESSAGE_BYTES);
     private final SocketAddressBuffer addresses = new SocketAddressBuffer();
     private BiConsumer<InetSocketAddress, byte[]> receiver = (from, message) -> {};
 
@@ -39,16 +40,17 @@
     /**
      * Opens a socket.
      *
-     * @param worker its threads
-     * @param address where it receives, and sends from
+     * @param worker the worker whose thread receives messages
+     * @param address the local address to receive at and send from
      * @return the open socket
-     * @throws TamaracktrackException with {@code INVALID_SETTINGS} when the address can't be used
+     * @throws TamaracktrackException with {@code INVALID_SETTINGS} if the address can't be used
      */
     public static UdpDatagrams open(XnioWorker worker, InetSocketAddress address) {
         Objects.requireNonNull(worker, "worker is null");
         Objects.requireNonNull(address, "address is null");
         try {
-            UdpDatagrams opened = new UdpDatagrams(worker.createUdpServer(address, EXCLUSIVE));
+            UdpDatagrams opened =
+                    new UdpDatagrams(worker.createUdpServer(address, EXCLUSIVE_ADDRESS));
             opened.channel.getReadSetter().set(readable -> opened.read());
             opened.channel.resumeReads();
             return opened;
@@ -59,7 +61,7 @@
     }
 
     /**
-     * Returns where messages are received.
+     * Returns the address at which messages are received.
      *
      * @return IP number and port
      */
@@ -68,23 +70,23 @@
     }
 
     @Override
-    public void onReceived(BiConsumer<InetSocketAddress, byte[]> taker) {
-        receiver = taker;
+    public void onReceived(BiConsumer<InetSocketAddress, byte[]> newReceiver) {
+        receiver = newReceiver;
     }
 
     @Override
-    public void send(InetSocketAddress target, byte[] message) {
+    public void send(InetSocketAddress address, byte[] message) {
         try {
-            channel.sendTo(target, ByteBuffer.wrap(message));
+            channel.sendTo(address, ByteBuffer.wrap(message));
         } catch (IOException failure) {
-            // The next message tells the same; a peer that can't be reached is gone.
+            // The next message makes up for this one, unless the peer has stopped.
             LOG.info("event=load-not-sent problem=\"" + failure.getMessage() + '"');
         }
     }
 
     private void read() {
         try {
-            for (int count = 0; count < MOST_AT_ONCE; count++) {
+            for (int count = 0; count < MAXIMUM_MESSAGES_PER_READ; count++) {
                 buffer.clear();
                 channel.receiveFrom(addresses, buffer);
                 if (buffer.position() == 0) {
@@ -95,7 +97,7 @@
                 receiver.accept(addresses.getSourceAddress(InetSocketAddress.class), message);
             }
         } catch (IOException failure) {
-            // What was lost is told again with the next message.
+            // The next message makes up for a lost one.
             LOG.info("event=load-not-received problem=\"" + failure.getMessage() + '"');
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/package-info.java
@@ -1,2 +1,2 @@
-/** What daemons tell each other of the load that they put on targets. */
+/** Exchange of the load that each daemon puts on targets. */
 package org.tamaracktrack.daemon.load;
--- a/daemon/src/test/java/org/tamaracktrack/daemon/load/LoadExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/load/LoadExchangeTest.java
@@ -18,40 +18,41 @@
 
 class LoadExchangeTest {
     private static final InetSocketAddress PEER = new InetSocketAddress("127.0.0.1", 2);
-    private static final InetSocketAddress STRANGER = new InetSocketAddress("127.0.0.1", 3);
+    private static final InetSocketAddress OTHER_ADDRESS = new InetSocketAddress("127.0.0.1", 3);
     private static final TargetIncarnation ENGINE = new TargetIncarnation(TargetId.of("engine"), 7);
-    private static final TargetIncarnation OTHER = new TargetIncarnation(TargetId.of("other"), 7);
-    private static final LoadShare SOME = new LoadShare(2, 900);
-    private static final LoadShare MORE = new LoadShare(3, 1_800);
+    private static final TargetIncarnation OTHER_ENGINE =
+            new TargetIncarnation(TargetId.of("other"), 7);
+    private static final LoadShare SMALL_SHARE = new LoadShare(2, 900);
+    private static final LoadShare LARGE_SHARE = new LoadShare(3, 1_800);
 
-    private final Wire wire = new Wire();
+    private final FakeDatagrams datagrams = new FakeDatagrams();
     private final VirtualTime time = new VirtualTime();
-    private final Map<TargetIncarnation, LoadShare> own = new HashMap<>();
-    private final Map<TargetIncarnation, LoadShare> others = new HashMap<>();
+    private final Map<TargetIncarnation, LoadShare> ownShares = new HashMap<>();
+    private final Map<TargetIncarnation, LoadShare> peerShares = new HashMap<>();
     private final LoadExchange exchange =
-            LoadExchange.of("self", wire, time, () -> Map.copyOf(own), others::put);
+            LoadExchange.of("self", datagrams, time, () -> Map.copyOf(ownShares), peerShares::put);
 
-    /** Keeps what is sent. */
-    private static final class Wire implements Datagrams {
+    /** Records the messages sent and lets a test inject received ones. */
+    private static final class FakeDatagrams implements Datagrams {
         private final List<byte[]> sent = new ArrayList<>();
         private BiConsumer<InetSocketAddress, byte[]> receiver = (from, message) -> {};
 
         @Override
-        public void send(InetSocketAddress target, byte[] message) {
+        public void send(InetSocketAddress address, byte[] message) {
             sent.add(message);
         }
 
         @Override
-        public void onReceived(BiConsumer<InetSocketAddress, byte[]> taker) {
-            receiver = taker;
+        public void onReceived(BiConsumer<InetSocketAddress, byte[]> newReceiver) {
+            receiver = newReceiver;
         }
 
-        LoadRecord last() {
+        LoadRecord lastSent() {
             return LoadRecord.decode(sent.get(sent.size() - 1));
         }
     }
 
-    /** Runs tasks as time is moved on. */
+    /** A timer that runs tasks when a test advances its time. */
     private static final class VirtualTime implements LoadExchange.Timer {
         private final PriorityQueue<Task> tasks = new PriorityQueue<>();
         private long nowMillis;
@@ -73,7 +74,7 @@
             return nowMillis;
         }
 
-        void pass(long millis) {
+        void advance(long millis) {
             long untilMillis = nowMillis + millis;
             while (!tasks.isEmpty() && tasks.peek().atMillis() <= untilMillis) {
                 Task next = tasks.remove();
@@ -84,115 +85,117 @@
         }
     }
 
-    private void hear(
-            InetSocketAddress from, String process, Map<TargetIncarnation, LoadShare> at) {
-        wire.receiver.accept(from, new LoadRecord(process, at).encode());
+    private void receive(
+            InetSocketAddress from, String process, Map<TargetIncarnation, LoadShare> shares) {
+        datagrams.receiver.accept(from, new LoadRecord(process, shares).encode());
     }
 
     @BeforeEach
-    void meet() {
-        exchange.peers(List.of(PEER));
-        time.pass(1_000);
-        wire.sent.clear();
+    void connectToPeer() {
+        exchange.updatePeers(List.of(PEER));
+        time.advance(1_000);
+        datagrams.sent.clear();
     }
 
     @Nested
-    class Telling {
+    class Sending {
 
         @Test
-        void shouldTellOnceWhatChangedWithinAMoment() {
-            own.put(ENGINE, SOME);
-            exchange.changed();
-            own.put(ENGINE, MORE);
-            exchange.changed();
+        void shouldSendOneMessageWhenChangesAreCloseTogether() {
+            ownShares.put(ENGINE, SMALL_SHARE);
+            exchange.onLoadChanged();
+            ownShares.put(ENGINE, LARGE_SHARE);
+            exchange.onLoadChanged();
 
-            time.pass(100);
+            time.advance(100);
 
-            assertThat(wire.sent).hasSize(1);
-            assertThat(wire.last().shares()).containsExactly(ENGINE, MORE);
+            assertThat(datagrams.sent).hasSize(1);
+            assertThat(datagrams.lastSent().shares()).containsExactly(ENGINE, LARGE_SHARE);
         }
 
-        // Guards against a peer that is taken for gone since its long requests do not change.
+        // Guards against a load that peers let expire because long requests do not change it.
         @Test
-        void shouldRepeatItselfWhenNothingChanges() {
-            own.put(ENGINE, SOME);
-            exchange.changed();
+        void shouldResendUnchangedLoadPeriodically() {
+            ownShares.put(ENGINE, SMALL_SHARE);
+            exchange.onLoadChanged();
 
-            time.pass(1_000);
+            time.advance(1_000);
 
-            assertThat(wire.sent.size()).isAtLeast(2);
-            assertThat(wire.last().shares()).containsExactly(ENGINE, SOME);
+            assertThat(datagrams.sent.size()).isAtLeast(2);
+            assertThat(datagrams.lastSent().shares()).containsExactly(ENGINE, SMALL_SHARE);
         }
 
         @Test
-        void shouldFallSilentWhenItHasNothing() {
-            exchange.changed();
+        void shouldStopSendingWhenThereIsNoLoad() {
+            exchange.onLoadChanged();
 
-            time.pass(10_000);
+            time.advance(10_000);
 
-            assertThat(wire.sent).hasSize(1);
-            assertThat(wire.last().shares()).isEmpty();
+            assertThat(datagrams.sent).hasSize(1);
+            assertThat(datagrams.lastSent().shares()).isEmpty();
         }
 
         @Test
-        void shouldTellNobodyWithoutPeers() {
-            exchange.peers(List.of());
-            own.put(ENGINE, SOME);
-            exchange.changed();
+        void shouldSendNothingWithoutPeers() {
+            exchange.updatePeers(List.of());
+            ownShares.put(ENGINE, SMALL_SHARE);
+            exchange.onLoadChanged();
 
-            time.pass(1_000);
+            time.advance(1_000);
 
-            assertThat(wire.sent).isEmpty();
+            assertThat(datagrams.sent).isEmpty();
         }
     }
 
     @Nested
-    class Hearing {
+    class Receiving {
 
         @Test
-        void shouldAddUpWhatPeersHave() {
-            exchange.peers(List.of(PEER, STRANGER));
-            hear(PEER, "one", Map.of(ENGINE, SOME));
-            hear(STRANGER, "two", Map.of(ENGINE, SOME, OTHER, SOME));
+        void shouldSumLoadOfPeers() {
+            exchange.updatePeers(List.of(PEER, OTHER_ADDRESS));
+            receive(PEER, "one", Map.of(ENGINE, SMALL_SHARE));
+            receive(OTHER_ADDRESS, "two", Map.of(ENGINE, SMALL_SHARE, OTHER_ENGINE, SMALL_SHARE));
 
-            assertThat(others).containsExactly(ENGINE, new LoadShare(4, 1_800), OTHER, SOME);
+            assertThat(peerShares)
+                    .containsExactly(ENGINE, new LoadShare(4, 1_800), OTHER_ENGINE, SMALL_SHARE);
         }
 
-        // Guards against load that stays for good after the message of its end was lost.
+        // Guards against load that is kept forever because the message with its end was lost.
         @Test
-        void shouldForgetWhatAPeerNoLongerNames() {
-            hear(PEER, "one", Map.of(ENGINE, SOME, OTHER, SOME));
+        void shouldRemoveLoadThatPeerNoLongerReports() {
+            receive(PEER, "one", Map.of(ENGINE, SMALL_SHARE, OTHER_ENGINE, SMALL_SHARE));
 
-            hear(PEER, "one", Map.of(OTHER, MORE));
+            receive(PEER, "one", Map.of(OTHER_ENGINE, LARGE_SHARE));
 
-            assertThat(others).containsExactly(ENGINE, LoadShare.empty(), OTHER, MORE);
+            assertThat(peerShares)
+                    .containsExactly(ENGINE, LoadShare.empty(), OTHER_ENGINE, LARGE_SHARE);
         }
 
-        // Guards against the load of a process that was killed beside that of its successor.
+        // Guards against counting the load of a killed process in addition to its successor's.
         @Test
-        void shouldForgetAPeerThatFellSilent() {
-            hear(PEER, "killed", Map.of(ENGINE, SOME));
-            time.pass(1_500);
+        void shouldRemoveLoadOfPeerThatStoppedSending() {
+            receive(PEER, "killed", Map.of(ENGINE, SMALL_SHARE));
+            time.advance(1_500);
 
-            hear(PEER, "successor", Map.of(ENGINE, MORE));
+            receive(PEER, "successor", Map.of(ENGINE, LARGE_SHARE));
 
-            assertThat(others).containsExactly(ENGINE, MORE);
+            assertThat(peerShares).containsExactly(ENGINE, LARGE_SHARE);
         }
 
         @Test
-        void shouldNotListenToAStranger() {
-            hear(STRANGER, "stranger", Map.of(ENGINE, SOME));
+        void shouldIgnoreMessageFromUnknownAddress() {
+            receive(OTHER_ADDRESS, "stranger", Map.of(ENGINE, SMALL_SHARE));
 
-            assertThat(others).isEmpty();
+            assertThat(peerShares).isEmpty();
         }
 
-        // Guards against a message of another version, or of other software, that ends the thread.
+        // Guards against a message from another version, or other software, that ends the thread.
         @Test
-        void shouldPassOverWhatItCannotRead() {
-            wire.receiver.accept(PEER, new byte[] {1, 2, 3});
-            hear(PEER, "one", Map.of(ENGINE, SOME));
+        void shouldIgnoreUndecodableMessage() {
+            datagrams.receiver.accept(PEER, new byte[] {1, 2, 3});
+            receive(PEER, "one", Map.of(ENGINE, SMALL_SHARE));
 
-            assertThat(others).containsExactly(ENGINE, SOME);
+            assertThat(peerShares).containsExactly(ENGINE, SMALL_SHARE);
         }
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/load/LoadRecordTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/load/LoadRecordTest.java
@@ -20,7 +20,7 @@
 class LoadRecordTest {
 
     @Property(tries = 100, seed = "31")
-    void shouldReadWhatWasWritten(
+    void shouldDecodeEncodedRecord(
             @ForAll @IntRange(min = 0, max = 1_000) int outstanding,
             @ForAll @IntRange(min = 0) int tokens) {
         LoadRecord record =
@@ -33,9 +33,9 @@
         assertThat(LoadRecord.decode(record.encode())).isEqualTo(record);
     }
 
-    // Guards against bytes of the network that end the thread with another failure.
+    // Guards against received bytes that end the thread with an unexpected exception.
     @Property(tries = 500, seed = "32")
-    void shouldRefuseOtherBytesByName(@ForAll @Size(max = 60) byte[] bytes) {
+    void shouldThrowProjectExceptionWhenBytesAreInvalid(@ForAll @Size(max = 60) byte[] bytes) {
         try {
             LoadRecord.decode(bytes);
         } catch (TamaracktrackException refused) {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void shouldReadPeersThatWereWritten() {
+    void shouldDecodeEncodedPeers() {
         Set<Peer> peers =
                 Set.of(
                         new Peer("one", DataCentreId.of("home"), "10.0.0.1:1"),
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void shouldRefuseALoadThatIsLessThanNothing() {
+    void shouldRejectNegativeLoad() {
         assertThrows(IllegalArgumentException.class, () -> new LoadShare(-1, 0));
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/load/PeerDirectoryTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/load/PeerDirectoryTest.java
@@ -20,32 +20,32 @@
     private static final Peer OTHER = new Peer("other", DataCentreId.of("home"), "10.0.0.2:1");
 
     private RelayPair pair;
-    private final Heard ofHolder = new Heard();
-    private final Heard ofOther = new Heard();
+    private final RecordingListener holderListener = new RecordingListener();
+    private final RecordingListener otherListener = new RecordingListener();
 
-    /** What a daemon has heard last. */
-    private static final class Heard implements PeerDirectory.Listener {
+    /** Records the last events of a directory. */
+    private static final class RecordingListener implements PeerDirectory.Listener {
         private volatile List<Peer> peers = List.of();
-        private volatile int daemons;
-        private volatile int lists;
+        private volatile int daemonCount;
+        private volatile int listCount;
 
         @Override
-        public void onPeers(List<Peer> newer) {
-            peers = newer;
+        public void onPeers(List<Peer> newPeers) {
+            peers = newPeers;
         }
 
         @Override
-        public void onListed(int newer, long atMillis) {
-            daemons = newer;
-            lists++;
+        public void onListed(int newCount, long atMillis) {
+            daemonCount = newCount;
+            listCount++;
         }
     }
 
     @BeforeEach
     void start() throws IOException {
         pair = RelayPair.start();
-        PeerDirectory.start(HOLDER, PART, pair.holder(), pair.control(), ofHolder);
-        PeerDirectory.start(OTHER, PART, pair.follower(), pair.control(), ofOther);
+        PeerDirectory.start(HOLDER, PART, pair.holder(), pair.control(), holderListener);
+        PeerDirectory.start(OTHER, PART, pair.follower(), pair.control(), otherListener);
     }
 
     @AfterEach
@@ -53,71 +53,71 @@
         pair.close();
     }
 
-    private void meet() {
+    private void connectDaemons() {
         pair.hold();
         pair.await(
                 () -> {
-                    publishAsReadsDo();
-                    return ofHolder.peers.equals(List.of(OTHER))
-                            && ofOther.peers.equals(List.of(HOLDER));
+                    publishEmptyBatch();
+                    return holderListener.peers.equals(List.of(OTHER))
+                            && otherListener.peers.equals(List.of(HOLDER));
                 });
     }
 
-    // A daemon relies on the holder only while it hears of its reads.
-    private void publishAsReadsDo() {
+    // A daemon relies on the holder only while it receives the results of the holder's reads.
+    private void publishEmptyBatch() {
         pair.holder().publish(new TopicPart("registry", 0), new RecordBatch(0, List.of(), 0));
     }
 
     @Test
-    void shouldFindEachOtherThroughTheHolder() {
-        meet();
+    void shouldDiscoverPeersThroughLeaseHolder() {
+        connectDaemons();
 
-        assertThat(ofHolder.peers).containsExactly(OTHER);
-        assertThat(ofOther.peers).containsExactly(HOLDER);
+        assertThat(holderListener.peers).containsExactly(OTHER);
+        assertThat(otherListener.peers).containsExactly(HOLDER);
     }
 
-    // Guards against daemons that know nothing of each other while the lease changes hands.
+    // Guards against daemons without peers while the lease passes to another holder.
     @Test
-    void shouldKeepItsPeersWhenTheHolderIsLost() {
-        meet();
+    void shouldKeepPeersWhenHolderIsLost() {
+        connectDaemons();
 
         pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
 
         pair.await(() -> !pair.follower().connected());
-        assertThat(ofOther.peers).containsExactly(HOLDER);
+        assertThat(otherListener.peers).containsExactly(HOLDER);
     }
 
-    // Guards against messages to a host that is gone for good.
+    // Guards against messages to a daemon that has stopped permanently.
     @Test
-    void shouldTakeADaemonOffTheListWhenItFallsSilent() {
-        meet();
+    void shouldRemoveDaemonThatStoppedReporting() {
+        connectDaemons();
 
         pair.onControl(pair.follower()::close);
 
-        pair.await(() -> ofHolder.peers.isEmpty());
-        assertThat(ofHolder.peers).isEmpty();
+        pair.await(() -> holderListener.peers.isEmpty());
+        assertThat(holderListener.peers).isEmpty();
     }
 
     @Test
-    void shouldSayHowManyDaemonsThereAreAsLongAsTheHolderSaysSo() {
-        meet();
-        int heard = ofOther.lists;
+    void shouldReportDaemonCountWhileHolderConfirmsList() {
+        connectDaemons();
+        int countBefore = otherListener.listCount;
 
-        pair.await(() -> ofOther.lists > heard + 2);
-        assertThat(ofOther.daemons).isEqualTo(2);
-        assertThat(ofHolder.daemons).isEqualTo(2);
+        pair.await(() -> otherListener.listCount > countBefore + 2);
+        assertThat(otherListener.daemonCount).isEqualTo(2);
+        assertThat(holderListener.daemonCount).isEqualTo(2);
     }
 
-    // Guards against a part of the retry budget by a list that nobody stands for any more.
+    // Guards against a share of the retry budget derived from a list that no holder confirms.
     @Test
-    void shouldHearOfNoListWhenTheHolderIsLost() {
-        meet();
+    void shouldNotReportListWhenHolderIsLost() {
+        connectDaemons();
 
         pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
         pair.await(() -> !pair.follower().connected());
-        int heard = ofOther.lists;
+        int countBefore = otherListener.listCount;
         pair.onControl(() -> {});
 
-        assertThat(ofOther.lists).isEqualTo(heard);
+        assertThat(otherListener.listCount).isEqualTo(countBefore);
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/load/UdpDatagramsTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/load/UdpDatagramsTest.java
@@ -31,25 +31,25 @@
     }
 
     @Test
-    void shouldBringAMessageWithItsSendersAddress() throws Exception {
-        UdpDatagrams one = UdpDatagrams.open(worker, ANY_PORT);
-        UdpDatagrams two = UdpDatagrams.open(worker, ANY_PORT);
+    void shouldDeliverMessageWithSenderAddress() throws Exception {
+        UdpDatagrams first = UdpDatagrams.open(worker, ANY_PORT);
+        UdpDatagrams second = UdpDatagrams.open(worker, ANY_PORT);
         CompletableFuture<InetSocketAddress> sender = new CompletableFuture<>();
         CompletableFuture<byte[]> received = new CompletableFuture<>();
-        two.onReceived(
+        second.onReceived(
                 (from, message) -> {
                     sender.complete(from);
                     received.complete(message);
                 });
 
-        one.send(two.address(), new byte[] {1, 2, 3});
+        first.send(second.address(), new byte[] {1, 2, 3});
 
         assertThat(received.get(20, TimeUnit.SECONDS)).isEqualTo(new byte[] {1, 2, 3});
-        assertThat(sender.get(20, TimeUnit.SECONDS)).isEqualTo(one.address());
+        assertThat(sender.get(20, TimeUnit.SECONDS)).isEqualTo(first.address());
     }
 
     @Test
-    void shouldSayWhichAddressCannotBeUsed() {
+    void shouldNameAddressThatCannotBeUsed() {
         UdpDatagrams first = UdpDatagrams.open(worker, ANY_PORT);
 
         TamaracktrackException failure =
