--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/Gateway.java
@@ -301,8 +301,8 @@
                                 context.loads()
                                         .of(target)
                                         .recordPeerShare(share, context.nowMillis()));
-        thread.execute(() -> context.onLoadsChanged(exchange::changed));
-        return addresses -> thread.execute(() -> exchange.peers(addresses));
+        thread.execute(() -> context.onLoadsChanged(exchange::onLoadChanged));
+        return addresses -> thread.execute(() -> exchange.updatePeers(addresses));
     }
 
     /**
