--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
@@ -13,42 +13,48 @@
 import org.tamaracktrack.link.topic.TopicClient;
 import org.tamaracktrack.link.topic.TopicPart;
 
-/** The duty of placing copies, which one daemon has at a time. */
+/**
+ * Runs the duty of placing model replicas on engines, which one daemon at a time holds by a lease.
+ */
 public final class CopyDuty {
     private final LeaseDriver lease;
-    private final OrderGiver giver;
+    private final OrderGiver orderGiver;
     private final HoldingsExchange holdings;
     private final ControlThread control;
 
     private CopyDuty(
             LeaseDriver lease, OrderGiver giver, HoldingsExchange holdings, ControlThread control) {
         this.lease = lease;
-        this.giver = giver;
+        this.orderGiver = giver;
         this.holdings = holdings;
         this.control = control;
     }
 
     /**
-     * Who takes part in the duty, and how.
+     * Describes how a process takes part in the duty.
      *
-     * @param process names this run of the process
-     * @param topic the topic of the lease (its partition 0) and of demand (1); what engines hold is
-     *     only passed on, under the number 2
-     * @param pauseMillis the pause between the orders of two holders
-     * @param delayMillis what this process waits longer than others before it claims
+     * @param process the unique name of this run of the process
+     * @param topic the topic of the lease (partition 0) and of demand (partition 1); the models
+     *     that engines hold are relayed as partition 2 and never stored
+     * @param handoverPauseMillis the pause between the last order of one holder and the first order
+     *     of the next, in milliseconds
+     * @param claimDelayMillis how much longer than other processes this process waits before it
+     *     claims the lease, in milliseconds
      */
-    public record Member(String process, String topic, long pauseMillis, long delayMillis) {}
+    public record Member(
+            String process, String topic, long handoverPauseMillis, long claimDelayMillis) {}
 
     /**
-     * Takes part in the duty.
+     * Starts to take part in the duty.
      *
-     * @param member who takes part
-     * @param topics the store
+     * @param member describes this process
+     * @param topics the client of the store
      * @param relay passes records between the holder of the lease and the other daemons
-     * @param orders calls engines
-     * @param control the thread that everything here runs on
-     * @param meter reads what this daemon saw of demand
-     * @param changed takes the targets with what they hold by the newest word
+     * @param orders sends orders to engines
+     * @param control the thread that runs the duty
+     * @param demandCounts returns the request counts of this daemon since the previous call
+     * @param fleetListener receives the targets with the most recent information on the models that
+     *     they hold, on the control thread
      * @return the duty
      */
     public static CopyDuty start(
@@ -57,11 +63,11 @@
             RecordRelay relay,
             EngineOrders orders,
             ControlThread control,
-            Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter,
-            Consumer<FleetSnapshot> changed) {
+            Supplier<CompletableFuture<DemandTracker.DemandCounts>> demandCounts,
+            Consumer<FleetSnapshot> fleetListener) {
         Objects.requireNonNull(member, "member is null");
         ConditionalLease.Terms terms =
-                ConditionalLease.Terms.of(member.pauseMillis(), member.delayMillis());
+                ConditionalLease.Terms.of(member.handoverPauseMillis(), member.claimDelayMillis());
         LeaseDriver lease =
                 LeaseDriver.start(
                         topics,
@@ -79,37 +85,39 @@
                 lease,
                 relay,
                 demand,
-                meter);
+                demandCounts);
         HoldingsExchange holdings =
-                HoldingsExchange.start(new TopicPart(member.topic(), 2), relay, control, changed);
+                HoldingsExchange.start(
+                        new TopicPart(member.topic(), 2), relay, control, fleetListener);
         OrderGiver giver =
-                OrderGiver.start(orders, lease, control, demand, holdings, member.pauseMillis());
+                OrderGiver.start(
+                        orders, lease, control, demand, holdings, member.handoverPauseMillis());
         return new CopyDuty(lease, giver, holdings, control);
     }
 
     /**
-     * Takes a configuration in.
+     * Applies a configuration. Called on the control thread.
      *
      * @param configuration the configuration in force
      */
     public void configure(ServingConfiguration configuration) {
-        giver.configure(configuration);
+        orderGiver.configure(configuration);
     }
 
     /**
-     * Takes the targets in.
+     * Applies a new set of targets. Called on the control thread.
      *
-     * @param fleet the targets known now
+     * @param fleet the known targets
      */
-    public void fleet(FleetSnapshot fleet) {
-        giver.fleet(fleet);
-        holdings.fleet(fleet);
+    public void updateFleet(FleetSnapshot fleet) {
+        orderGiver.updateFleet(fleet);
+        holdings.updateFleet(fleet);
     }
 
     /**
-     * Gives the duty up, at the end of a planned stop.
+     * Releases the lease at the end of a planned stop. May be called by any thread.
      *
-     * @return completed when that is written
+     * @return a future that completes when the release is written, or nothing has to be written
      */
     public CompletableFuture<Void> leave() {
         CompletableFuture<Void> done = new CompletableFuture<>();
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
@@ -18,29 +18,32 @@
 import org.tamaracktrack.link.topic.TopicPart;
 
 /**
- * Brings what each daemon sees of demand to the one that gives orders: the others tell it, or
- * append it when they have no connection to it; the holder of the lease reads it. On the control
- * thread.
+ * Collects the request counts of all daemons at the holder of the lease. The other daemons send
+ * their counts to the holder, or append them to the store while they have no connection to it; the
+ * holder reads the store as well. Used on the control thread only.
  */
 final class DemandExchange {
     private static final long TICK_MILLIS = 100;
 
-    /** Demand is written this often; a request that waits for a copy is written at once. */
-    private static final long WRITE_EVERY_MILLIS = 1_000;
+    /**
+     * The interval between two reports of a daemon. A need for which requests have begun to wait is
+     * reported at once.
+     */
+    private static final long REPORT_INTERVAL_MILLIS = 1_000;
 
-    private static final long WRITE_WAITING_EVERY_MILLIS = 700;
+    private static final long WAITING_REPORT_INTERVAL_MILLIS = 700;
     private static final long READ_WAIT_MILLIS = 2_000;
 
-    /** Records that come close together cost one read. */
-    private static final long READ_GAP_MILLIS = 80;
+    /** The pause after a read that returned records, so that one read returns several of them. */
+    private static final long READ_PAUSE_MILLIS = 80;
 
     private static final long RETRY_MILLIS = 500;
 
     /**
-     * How often the holder writes down which models were ever asked for; the store keeps records
-     * for 20 s. A successor that did not know would keep copies that nobody wants.
+     * The interval at which the holder stores which models were ever requested; the store keeps
+     * records for 20 s. Without them the next holder would keep replicas of unrequested models.
      */
-    private static final long REMEMBER_EVERY_MILLIS = 4_000;
+    private static final long HISTORY_INTERVAL_MILLIS = 4_000;
 
     private final String process;
     private final TopicClient topics;
@@ -48,16 +51,16 @@
     private final ControlThread control;
     private final LeaseDriver lease;
     private final RecordRelay relay;
-    private final DemandTracker book;
-    private final Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter;
+    private final DemandTracker demandTracker;
+    private final Supplier<CompletableFuture<DemandTracker.DemandCounts>> demandCounts;
     private final Map<ModelNeed, Integer> urgent = new HashMap<>();
     private final Map<ModelNeed, Integer> patient = new HashMap<>();
-    private Set<ModelNeed> waitingWritten = Set.of();
-    private long writtenAtMillis;
-    private long rememberedAtMillis;
+    private Set<ModelNeed> reportedWaiting = Set.of();
+    private long reportedAtMillis;
+    private long historyAppendedAtMillis;
     private boolean reading;
     private boolean skipHistory;
-    private long next;
+    private long nextOffset;
 
     private DemandExchange(
             String process,
@@ -66,16 +69,16 @@
             ControlThread control,
             LeaseDriver lease,
             RecordRelay relay,
-            DemandTracker book,
-            Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter) {
+            DemandTracker demandTracker,
+            Supplier<CompletableFuture<DemandTracker.DemandCounts>> demandCounts) {
         this.process = process;
         this.topics = topics;
         this.part = part;
         this.control = control;
         this.lease = lease;
         this.relay = relay;
-        this.book = book;
-        this.meter = meter;
+        this.demandTracker = demandTracker;
+        this.demandCounts = demandCounts;
     }
 
     static DemandExchange start(
@@ -85,24 +88,25 @@
             ControlThread control,
             LeaseDriver lease,
             RecordRelay relay,
-            DemandTracker book,
-            Supplier<CompletableFuture<DemandTracker.DemandCounts>> meter) {
-        Objects.requireNonNull(meter, "meter is null");
+            DemandTracker demandTracker,
+            Supplier<CompletableFuture<DemandTracker.DemandCounts>> demandCounts) {
+        Objects.requireNonNull(demandCounts, "meter is null");
         DemandExchange exchange =
-                new DemandExchange(process, topics, part, control, lease, relay, book, meter);
-        topics.era().onRestored(() -> control.post(exchange::restored));
-        control.post(() -> relay.onTold(part, exchange::told));
+                new DemandExchange(
+                        process, topics, part, control, lease, relay, demandTracker, demandCounts);
+        topics.era().onRestored(() -> control.post(exchange::handleLogRestored));
+        control.post(() -> relay.onTold(part, exchange::handleReport));
         control.every(TICK_MILLIS, exchange::tick);
         return exchange;
     }
 
-    private void restored() {
-        next = 0;
+    private void handleLogRestored() {
+        nextOffset = 0;
         skipHistory = true;
     }
 
     private void tick() {
-        meter.get().thenAccept(demand -> control.post(() -> metered(demand)));
+        demandCounts.get().thenAccept(demand -> control.post(() -> handleOwnCounts(demand)));
         if (lease.holds() && !reading) {
             reading = true;
             skipHistory = true;
@@ -110,103 +114,110 @@
         }
     }
 
-    private void metered(DemandTracker.DemandCounts seen) {
+    private void handleOwnCounts(DemandTracker.DemandCounts counts) {
         long nowMillis = ControlThread.nowMillis();
         if (lease.holds()) {
             urgent.clear();
             patient.clear();
-            book.add(process, seen, nowMillis);
-            writeDownAsked(nowMillis);
+            demandTracker.add(process, counts, nowMillis);
+            appendHistory(nowMillis);
             return;
         }
-        seen.urgent().forEach((need, count) -> urgent.merge(need, count, Integer::sum));
-        seen.patient().forEach((need, count) -> patient.merge(need, count, Integer::sum));
-        boolean newlyWaiting = !waitingWritten.containsAll(seen.waiting().keySet());
-        long every = seen.waiting().isEmpty() ? WRITE_EVERY_MILLIS : WRITE_WAITING_EVERY_MILLIS;
-        boolean something = !urgent.isEmpty() || !patient.isEmpty() || !seen.waiting().isEmpty();
-        if (newlyWaiting || something && nowMillis - writtenAtMillis >= every) {
-            writtenAtMillis = nowMillis;
-            waitingWritten = seen.waiting().keySet();
-            write(new DemandTracker.DemandCounts(urgent, patient, seen.waiting()));
+        counts.urgent().forEach((need, count) -> urgent.merge(need, count, Integer::sum));
+        counts.patient().forEach((need, count) -> patient.merge(need, count, Integer::sum));
+        boolean newlyWaiting = !reportedWaiting.containsAll(counts.waiting().keySet());
+        long intervalMillis =
+                counts.waiting().isEmpty()
+                        ? REPORT_INTERVAL_MILLIS
+                        : WAITING_REPORT_INTERVAL_MILLIS;
+        boolean hasDemand = !urgent.isEmpty() || !patient.isEmpty() || !counts.waiting().isEmpty();
+        if (newlyWaiting || hasDemand && nowMillis - reportedAtMillis >= intervalMillis) {
+            reportedAtMillis = nowMillis;
+            reportedWaiting = counts.waiting().keySet();
+            sendReport(new DemandTracker.DemandCounts(urgent, patient, counts.waiting()));
             urgent.clear();
             patient.clear();
         }
     }
 
-    private void writeDownAsked(long nowMillis) {
-        DemandTracker.DemandCounts asked = book.everRequested();
-        boolean nothing = asked.urgent().isEmpty() && asked.patient().isEmpty();
-        if (nothing || nowMillis - rememberedAtMillis < REMEMBER_EVERY_MILLIS) {
+    private void appendHistory(long nowMillis) {
+        DemandTracker.DemandCounts requested = demandTracker.everRequested();
+        boolean isEmpty = requested.urgent().isEmpty() && requested.patient().isEmpty();
+        if (isEmpty || nowMillis - historyAppendedAtMillis < HISTORY_INTERVAL_MILLIS) {
             return;
         }
-        rememberedAtMillis = nowMillis;
-        append(DutyRecords.encode(new DutyRecords.DemandRecord(process, asked)));
+        historyAppendedAtMillis = nowMillis;
+        append(DutyRecords.encode(new DutyRecords.DemandRecord(process, requested)));
     }
 
     private void append(byte[] record) {
         topics.append(part, List.of(record), OptionalLong.empty());
     }
 
-    // A record that is lost is not sent again: the next one says what waits now, and the averages
-    // come right within seconds.
-    private void write(DemandTracker.DemandCounts seen) {
-        byte[] record = DutyRecords.encode(new DutyRecords.DemandRecord(process, seen));
+    // A lost report is not sent again: the next one contains the requests that wait then, and the
+    // averages recover within seconds.
+    private void sendReport(DemandTracker.DemandCounts counts) {
+        byte[] record = DutyRecords.encode(new DutyRecords.DemandRecord(process, counts));
         if (!relay.tell(part, record)) {
             append(record);
         }
     }
 
-    private void told(byte[] record) {
+    private void handleReport(byte[] record) {
         if (lease.holds()) {
-            add(record, ControlThread.nowMillis());
+            addReport(record, ControlThread.nowMillis());
         }
     }
 
-    private void add(byte[] bytes, long nowMillis) {
-        DutyRecords.demand(bytes)
+    private void addReport(byte[] bytes, long nowMillis) {
+        DutyRecords.decodeDemand(bytes)
                 .filter(record -> !record.process().equals(process))
-                .ifPresent(record -> book.add(record.process(), record.seen(), nowMillis));
+                .ifPresent(
+                        record -> demandTracker.add(record.process(), record.counts(), nowMillis));
     }
 
     private void read() {
-        topics.read(part, next, skipHistory ? 0 : READ_WAIT_MILLIS)
-                .thenAccept(answer -> control.post(() -> readDone(answer)));
+        topics.read(part, nextOffset, skipHistory ? 0 : READ_WAIT_MILLIS)
+                .thenAccept(answer -> control.post(() -> handleReadAnswer(answer)));
     }
 
-    private void readDone(TopicAnswer<RecordBatch> answer) {
+    private void handleReadAnswer(TopicAnswer<RecordBatch> answer) {
         if (!lease.holds()) {
             reading = false;
             return;
         }
         if (answer instanceof TopicAnswer.Done<RecordBatch> done) {
-            take(done.value());
+            handleBatch(done.value());
         } else if (answer instanceof TopicAnswer.Expired<RecordBatch> expired) {
-            next = expired.first();
+            nextOffset = expired.first();
             read();
         } else {
             control.after(RETRY_MILLIS, this::read);
         }
     }
 
-    private void take(RecordBatch batch) {
+    private void handleBatch(RecordBatch batch) {
         if (skipHistory) {
-            // Counts of minutes ago would be taken for demand of now; they only tell which models
-            // were ever asked for.
+            // Old counts must not be added to current demand; they only show which models were
+            // ever requested.
             batch.records().stream()
-                    .flatMap(record -> DutyRecords.demand(record).stream())
-                    .forEach(record -> book.restore(record.seen(), ControlThread.nowMillis()));
+                    .flatMap(record -> DutyRecords.decodeDemand(record).stream())
+                    .forEach(
+                            record ->
+                                    demandTracker.restore(
+                                            record.counts(), ControlThread.nowMillis()));
             skipHistory = false;
-            next = batch.end();
+            nextOffset = batch.end();
             read();
             return;
         }
         long nowMillis = ControlThread.nowMillis();
-        batch.records().forEach(record -> add(record, nowMillis));
-        next = batch.next();
+        batch.records().forEach(record -> addReport(record, nowMillis));
+        nextOffset = batch.next();
         if (batch.records().isEmpty()) {
             read();
         } else {
-            control.after(READ_GAP_MILLIS, this::read);
+            control.after(READ_PAUSE_MILLIS, this::read);
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
@@ -18,23 +18,23 @@
 import org.tamaracktrack.core.lease.ConditionalLease.LeaseRecord;
 import org.tamaracktrack.link.codec.Trees;
 
-/** The records of the duty's topic. */
+/** Encodes and decodes the records of the duty's topic as JSON. */
 final class DutyRecords {
     private DutyRecords() {}
 
     /**
-     * What one daemon saw of demand.
+     * Holds the request counts that one daemon reports.
      *
-     * @param process the daemon
-     * @param seen what it saw
+     * @param process the unique name of the daemon's process
+     * @param counts the request counts
      */
-    record DemandRecord(String process, DemandTracker.DemandCounts seen) {}
+    record DemandRecord(String process, DemandTracker.DemandCounts counts) {}
 
     /**
-     * What an engine holds.
+     * Holds the models that an engine has loaded.
      *
-     * @param target the engine and its run
-     * @param models its models with their adapters; empty when that is no longer sure
+     * @param target the incarnation of the engine
+     * @param models the loaded models with their adapters; empty when they are no longer confirmed
      */
     record Holding(TargetIncarnation target, Optional<Map<ModelId, HeldModel>> models) {}
 
@@ -59,26 +59,29 @@
         return Trees.write(fields);
     }
 
-    static Optional<Holding> holding(byte[] bytes) {
+    static Optional<Holding> decodeHolding(byte[] bytes) {
         try {
             return Trees.parse(bytes)
                     .flatMap(
                             tree ->
                                     Trees.text(tree, "target")
-                                            .map(target -> holding(TargetId.of(target), tree)));
+                                            .map(
+                                                    target ->
+                                                            decodeHolding(
+                                                                    TargetId.of(target), tree)));
         } catch (TamaracktrackException unreadable) {
-            // Only our own daemons say this; one with names of a newer version says nothing of use,
-            // and the registry's word holds.
+            // Only daemons send these records. One with names that a newer version allows is
+            // ignored, and the state of the registry applies.
             return Optional.empty();
         }
     }
 
-    private static Holding holding(TargetId target, JsonNode tree) {
+    private static Holding decodeHolding(TargetId target, JsonNode tree) {
         long started = Trees.whole(tree, "started").orElse(0L);
-        return new Holding(new TargetIncarnation(target, started), models(tree));
+        return new Holding(new TargetIncarnation(target, started), decodeModels(tree));
     }
 
-    private static Optional<Map<ModelId, HeldModel>> models(JsonNode tree) {
+    private static Optional<Map<ModelId, HeldModel>> decodeModels(JsonNode tree) {
         if (!tree.has("models")) {
             return Optional.empty();
         }
@@ -114,7 +117,7 @@
         return Trees.write(fields);
     }
 
-    static Optional<LeaseRecord> lease(byte[] bytes) {
+    static Optional<LeaseRecord> decodeLease(byte[] bytes) {
         return Trees.parse(bytes)
                 .flatMap(
                         tree ->
@@ -129,10 +132,10 @@
                                                                 Trees.flag(tree, "release"),
                                                                 Trees.whole(tree, "nonce")
                                                                         .orElse(0L),
-                                                                contact(tree))));
+                                                                decodeContact(tree))));
     }
 
-    private static Optional<Contact> contact(JsonNode tree) {
+    private static Optional<Contact> decodeContact(JsonNode tree) {
         return Trees.text(tree, "address")
                 .flatMap(
                         address ->
@@ -144,48 +147,51 @@
         return Trees.write(
                 Map.of(
                         "process", content.process(),
-                        "urgent", texts(content.seen().urgent()),
-                        "patient", texts(content.seen().patient()),
-                        "waiting", texts(content.seen().waiting())));
+                        "urgent", encodeCounts(content.counts().urgent()),
+                        "patient", encodeCounts(content.counts().patient()),
+                        "waiting", encodeCounts(content.counts().waiting())));
     }
 
-    private static Map<String, Integer> texts(Map<ModelNeed, Integer> counts) {
+    private static Map<String, Integer> encodeCounts(Map<ModelNeed, Integer> counts) {
         Map<String, Integer> texts = new LinkedHashMap<>();
         counts.forEach((need, count) -> texts.put(need.toString(), count));
         return texts;
     }
 
-    static Optional<DemandRecord> demand(byte[] bytes) {
+    static Optional<DemandRecord> decodeDemand(byte[] bytes) {
         return Trees.parse(bytes)
                 .flatMap(
                         tree ->
                                 Trees.text(tree, "process")
-                                        .map(process -> new DemandRecord(process, seen(tree))));
+                                        .map(
+                                                process ->
+                                                        new DemandRecord(
+                                                                process, decodeCounts(tree))));
     }
 
-    private static DemandTracker.DemandCounts seen(JsonNode tree) {
+    private static DemandTracker.DemandCounts decodeCounts(JsonNode tree) {
         return new DemandTracker.DemandCounts(
-                needs(tree.path("urgent")),
-                needs(tree.path("patient")),
-                needs(tree.path("waiting")));
+                decodeNeeds(tree.path("urgent")),
+                decodeNeeds(tree.path("patient")),
+                decodeNeeds(tree.path("waiting")));
     }
 
-    private static Map<ModelNeed, Integer> needs(JsonNode counts) {
+    private static Map<ModelNeed, Integer> decodeNeeds(JsonNode counts) {
         Map<ModelNeed, Integer> needs = new LinkedHashMap<>();
         counts.fields()
                 .forEachRemaining(
                         entry ->
-                                need(entry.getKey())
+                                decodeNeed(entry.getKey())
                                         .ifPresent(
                                                 need -> needs.put(need, entry.getValue().asInt())));
         return needs;
     }
 
-    private static Optional<ModelNeed> need(String text) {
+    private static Optional<ModelNeed> decodeNeed(String text) {
         try {
             return Optional.of(ModelNeed.parse(text));
         } catch (TamaracktrackException unreadable) {
-            // Only our own daemons write here; a name from a newer version is left out.
+            // Only daemons write these records; a name that a newer version allows is omitted.
             return Optional.empty();
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/EngineOrders.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/EngineOrders.java
@@ -7,28 +7,29 @@
 import org.tamaracktrack.core.copies.PlacementOrder;
 import org.tamaracktrack.core.fleet.TargetEntry;
 
-/** Calls to engines about what they hold. Each is sent once. */
+/** Sends orders to load and unload models to engines, and queries their state. Never retries. */
 public interface EngineOrders {
 
-    /** What became of an order. */
+    /** The outcome of an order. */
     enum Outcome {
-        /** The engine carries it out, or has done so. */
+        /** The engine executes the order, or has executed it. */
         ACCEPTED,
         /**
-         * The engine did not take it: another is in progress, or it counted other orders before.
+         * The engine rejected the order: another order is in progress, or the number of orders that
+         * it has accepted is not the expected one.
          */
         NOT_TAKEN,
-        /** Nothing was sent. */
+        /** The order was not sent. */
         NOT_SENT,
-        /** No answer came: it may have been accepted, or may be seconds later. */
+        /** No answer was received: the engine may have accepted the order, or may yet accept it. */
         UNKNOWN
     }
 
     /**
-     * Who gives an order, and when the engine may take it.
+     * The conditions under which an engine may accept an order.
      *
-     * @param term the giver's fencing number
-     * @param expectedOrders how many orders the engine must have accepted before
+     * @param term the fencing number of the sender
+     * @param expectedOrders how many orders the engine must have accepted before this one
      */
     record Authority(long term, long expectedOrders) {}
 
@@ -37,18 +38,19 @@
      *
      * @param target the engine
      * @param order the order
-     * @param authority who gives it
-     * @param maySend asked once, right before the first byte is sent
-     * @return what became of it; never fails
+     * @param authority the conditions under which the engine may accept it
+     * @param maySend evaluated once, right before the first byte is sent; the order is sent only if
+     *     it returns true
+     * @return the outcome; the future never completes exceptionally
      */
     CompletableFuture<Outcome> send(
             TargetEntry target, PlacementOrder order, Authority authority, BooleanSupplier maySend);
 
     /**
-     * Asks an engine what it holds.
+     * Requests the state of an engine.
      *
      * @param target the engine
-     * @return its report; empty when none came that can be read
+     * @return its report; empty when no readable report was received
      */
     CompletableFuture<Optional<EngineReport>> report(TargetEntry target);
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/HoldingsExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/HoldingsExchange.java
@@ -17,108 +17,111 @@
 import org.tamaracktrack.link.topic.TopicPart;
 
 /**
- * Brings what the giver of orders knows of engines to every daemon, as soon as it knows it; without
- * a connection to the giver the registry's word holds. On the control thread.
+ * Relays the models that engines hold from the holder of the lease, which sends the orders, to the
+ * other daemons without delay. Without a connection to the holder a daemon uses the state of the
+ * registry. Used on the control thread only.
  */
 final class HoldingsExchange {
-    /** How soon a daemon goes back to the registry once it hears nothing of the giver. */
-    private static final long CHECK_EVERY_MILLIS = 100;
+    /** Bounds the delay until a daemon returns to the registry after the holder stops sending. */
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
     private final TopicPart part;
     private final RecordRelay relay;
-    private final Consumer<FleetSnapshot> changed;
+    private final Consumer<FleetSnapshot> fleetListener;
     private final Map<TargetIncarnation, Map<ModelId, HeldModel>> published = new HashMap<>();
     private ResidentModels holdings = ResidentModels.empty();
     private FleetSnapshot registry = FleetSnapshot.empty();
-    private boolean newcomer;
-    private boolean known;
-    private boolean used;
+    private boolean hasNewFollower;
+    private boolean hasRegistry;
+    private boolean usesHoldings;
 
-    private HoldingsExchange(TopicPart part, RecordRelay relay, Consumer<FleetSnapshot> changed) {
+    private HoldingsExchange(
+            TopicPart part, RecordRelay relay, Consumer<FleetSnapshot> fleetListener) {
         this.part = part;
         this.relay = relay;
-        this.changed = changed;
+        this.fleetListener = fleetListener;
     }
 
     /**
      * Starts an exchange.
      *
-     * @param part names what is passed on; nothing is ever appended to it
-     * @param relay passes it on
-     * @param control the thread that it belongs to
-     * @param changed takes the targets whenever what they hold has changed
+     * @param part identifies the relayed records; nothing is ever appended to it
+     * @param relay relays the records
+     * @param control the thread that runs the exchange
+     * @param fleetListener receives the targets whenever the models that they hold may have changed
      */
     static HoldingsExchange start(
             TopicPart part,
             RecordRelay relay,
             ControlThread control,
-            Consumer<FleetSnapshot> changed) {
-        HoldingsExchange exchange = new HoldingsExchange(part, relay, changed);
+            Consumer<FleetSnapshot> fleetListener) {
+        HoldingsExchange exchange = new HoldingsExchange(part, relay, fleetListener);
         control.post(
                 () -> {
-                    relay.onRecords(part, exchange.new FromGiver());
-                    relay.onFollower(() -> exchange.newcomer = true);
+                    relay.onRecords(part, exchange.new HolderRecordReader());
+                    relay.onFollower(() -> exchange.hasNewFollower = true);
                 });
-        control.every(CHECK_EVERY_MILLIS, exchange::check);
+        control.every(CHECK_INTERVAL_MILLIS, exchange::check);
         return exchange;
     }
 
-    private final class FromGiver implements RecordRelay.Reader {
+    private final class HolderRecordReader implements RecordRelay.Reader {
         @Override
         public void onBatch(RecordBatch batch, long wholeAtMillis) {
             batch.records().stream()
-                    .flatMap(record -> DutyRecords.holding(record).stream())
-                    .forEach(HoldingsExchange.this::learn);
-            tell();
+                    .flatMap(record -> DutyRecords.decodeHolding(record).stream())
+                    .forEach(HoldingsExchange.this::applyHolding);
+            notifyListener();
         }
 
         @Override
         public void onLost() {
             holdings = ResidentModels.empty();
-            tell();
+            notifyListener();
         }
     }
 
-    private void learn(DutyRecords.Holding holding) {
+    private void applyHolding(DutyRecords.Holding holding) {
         holdings = holdings.with(holding.target(), holding.models());
     }
 
-    /** Takes the targets in as the registry has them. */
-    void fleet(FleetSnapshot newer) {
+    /** Applies the targets in the state of the registry. */
+    void updateFleet(FleetSnapshot newer) {
         registry = newer;
-        known = true;
-        tell();
+        hasRegistry = true;
+        notifyListener();
     }
 
-    private void tell() {
-        used = usable();
-        if (known) {
-            changed.accept(used ? holdings.applyTo(registry) : registry);
+    private void notifyListener() {
+        usesHoldings = areHoldingsUsable();
+        if (hasRegistry) {
+            fleetListener.accept(usesHoldings ? holdings.applyTo(registry) : registry);
         }
     }
 
-    // A giver that is frozen or cut off says nothing, and what it said becomes old.
-    private boolean usable() {
+    // A holder that is frozen or partitioned sends nothing, so what it sent before becomes stale.
+    private boolean areHoldingsUsable() {
         return relay.holding() || relay.connected();
     }
 
     private void check() {
-        if (used != usable()) {
-            tell();
+        if (usesHoldings != areHoldingsUsable()) {
+            notifyListener();
         }
     }
 
     /**
-     * The giver of orders says what it knows; only what changed is passed on.
+     * Publishes the state of engines that the holder knows. Only changes are relayed, except after
+     * a daemon has connected, when the state of all engines is relayed.
      *
-     * @param sure what engines hold, of those that it is sure of
+     * @param confirmed the models that engines hold, for engines whose state is confirmed
      */
-    void publish(Map<TargetIncarnation, Map<ModelId, HeldModel>> sure) {
-        List<DutyRecords.Holding> news =
-                sure.entrySet().stream()
+    void publish(Map<TargetIncarnation, Map<ModelId, HeldModel>> confirmed) {
+        List<DutyRecords.Holding> changes =
+                confirmed.entrySet().stream()
                         .filter(
                                 entry ->
-                                        newcomer
+                                        hasNewFollower
                                                 || !entry.getValue()
                                                         .equals(published.get(entry.getKey())))
                         .map(
@@ -127,22 +130,22 @@
                                                 entry.getKey(), Optional.of(entry.getValue())))
                         .collect(Collectors.toList());
         published.keySet().stream()
-                .filter(target -> !sure.containsKey(target))
+                .filter(target -> !confirmed.containsKey(target))
                 .map(target -> new DutyRecords.Holding(target, Optional.empty()))
-                .forEach(news::add);
-        newcomer = false;
-        if (news.isEmpty()) {
+                .forEach(changes::add);
+        hasNewFollower = false;
+        if (changes.isEmpty()) {
             return;
         }
         published.clear();
-        published.putAll(sure);
-        news.forEach(this::learn);
+        published.putAll(confirmed);
+        changes.forEach(this::applyHolding);
         relay.publish(
                 part,
                 new RecordBatch(
                         0,
-                        news.stream().map(DutyRecords::encode).collect(Collectors.toList()),
-                        news.size()));
-        tell();
+                        changes.stream().map(DutyRecords::encode).collect(Collectors.toList()),
+                        changes.size()));
+        notifyListener();
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
@@ -15,29 +15,33 @@
 import org.tamaracktrack.link.topic.TopicClient;
 import org.tamaracktrack.link.topic.TopicPart;
 
-/** Keeps one lease up to date with the store. On the control thread. */
+/**
+ * Reads and appends the records of one lease in the store. Used on the control thread only, except
+ * where stated otherwise.
+ */
 final class LeaseDriver {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.lease");
     private static final long TICK_MILLIS = 100;
 
-    /** Who does not hold the lease looks this often whether its holder still renews it. */
-    private static final long WATCH_MILLIS = 700;
+    /** How often a process that does not hold the lease reads whether it was renewed. */
+    private static final long READ_INTERVAL_MILLIS = 700;
 
     /**
-     * The same while the holder passes its records on: longer than the pause between two of them
-     * and the time that a slow store takes for one.
+     * The read interval while the holder relays its records: longer than the interval between two
+     * renewals plus the time that a slow store takes to append one.
      */
-    private static final long RELAYED_WATCH_MILLIS = 900;
+    private static final long RELAYED_READ_INTERVAL_MILLIS = 900;
 
-    /** The term of the first holder ever. */
+    /** The term of the first holder in an empty log. */
     private static final long FIRST_TERM = 0;
 
-    /** The era of a store that never came back from a copy. */
+    /** The era of a store that was never restored from a backup. */
     private static final long FIRST_ERA = 1;
 
     /**
-     * Far more records than a store loses that comes back from a copy, so that a term of one era
-     * exceeds all of the era before; small enough for engines that keep the number in 32 bits.
+     * Far more than the records that a store loses when it is restored from a backup, so that each
+     * term of an era exceeds all terms of the era before; small enough for engines that store the
+     * fencing number in 32 bits.
      */
     private static final long TERMS_PER_ERA = 1_000_000;
 
@@ -46,11 +50,11 @@
     private final ControlThread control;
     private final ConditionalLease lease;
     private final RecordRelay relay;
-    private final FreezeDetector freezes =
+    private final FreezeDetector freezeDetector =
             FreezeDetector.of(ControlThread.nowMillis(), System.currentTimeMillis());
-    private boolean calling;
+    private boolean callPending;
     private boolean eraKnown;
-    private long nextWatchMillis;
+    private long nextReadMillis;
     private boolean held;
     private Optional<CompletableFuture<Void>> leaving = Optional.empty();
 
@@ -76,35 +80,36 @@
         Objects.requireNonNull(lease, "lease is null");
         Objects.requireNonNull(relay, "relay is null");
         LeaseDriver driver = new LeaseDriver(topics, part, control, lease, relay);
-        topics.era().onRestored(() -> control.post(driver::restored));
-        control.post(() -> relay.onRecords(part, driver.new Relayed()));
+        topics.era().onRestored(() -> control.post(driver::handleLogRestored));
+        control.post(() -> relay.onRecords(part, driver.new RelayedRecordReader()));
         control.every(TICK_MILLIS, driver::tick);
         return driver;
     }
 
     /**
-     * The right to give orders, for a while. Safe for use by any thread.
+     * The right to send orders for a limited time. Safe for use by any thread.
      *
      * @param term the fencing number
-     * @param untilMillis the monotonic time at which it ends
-     * @param clockDifference time of day less steady clock when it was given
-     * @param first whether nobody gave orders before
+     * @param validUntilMillis the monotonic time at which the right ends, in milliseconds
+     * @param clockDifference the wall clock time minus the monotonic time when it was granted, in
+     *     milliseconds
+     * @param firstHolder whether no process has held the lease before
      */
-    record Permit(long term, long untilMillis, long clockDifference, boolean first) {
+    record Permit(long term, long validUntilMillis, long clockDifference, boolean firstHolder) {
 
-        // Asked right before the first byte of an order leaves: the process may have been frozen
-        // since the decision, and then another holder may have begun.
-        boolean valid() {
+        // Evaluated right before the first byte of an order is sent: the process may have been
+        // frozen since the decision, and another process may hold the lease since.
+        boolean isValid() {
             long steadyMillis = ControlThread.nowMillis();
-            return steadyMillis < untilMillis
+            return steadyMillis < validUntilMillis
                     && !FreezeDetector.clocksDiverged(
                             clockDifference, steadyMillis, System.currentTimeMillis());
         }
     }
 
-    /** The right to give orders now; empty when another process may have it. */
+    /** Returns the right to send orders now; empty when another process may have it. */
     Optional<Permit> permit() {
-        noticeFreeze();
+        detectFreeze();
         long steadyMillis = ControlThread.nowMillis();
         OptionalLong term = lease.term(steadyMillis);
         return term.isEmpty()
@@ -118,33 +123,33 @@
     }
 
     boolean holds() {
-        noticeFreeze();
+        detectFreeze();
         return lease.holds(ControlThread.nowMillis());
     }
 
-    private void restored() {
+    private void handleLogRestored() {
         LOG.warn("event=lease-void held=" + held);
         lease.logRestored(ControlThread.nowMillis());
-        nextWatchMillis = 0;
+        nextReadMillis = 0;
     }
 
-    // Offsets, and terms with them, are given out a second time after the store came back from a
-    // copy. With the era before it each term exceeds all that engines have seen.
+    // After a restore the store assigns offsets, and with them terms, a second time. Prefixed with
+    // the era, each fencing number exceeds all those that engines have received.
     private long fencingNumber(long term) {
         return topics.era().newest() * TERMS_PER_ERA + term;
     }
 
-    private void noticeFreeze() {
-        if (freezes.detectFreeze(ControlThread.nowMillis(), System.currentTimeMillis())) {
+    private void detectFreeze() {
+        if (freezeDetector.detectFreeze(ControlThread.nowMillis(), System.currentTimeMillis())) {
             LOG.warn("event=clock-jump lease_held=" + held);
             lease.invalidate();
         }
     }
 
-    /** The holder's records, passed on as it appends them. */
-    private final class Relayed implements RecordRelay.Reader {
-        // Whoever reads a record later than it was appended waits longer before it claims, so it
-        // is safe to learn of it by any way; what is missing before it has to be read.
+    /** Applies the records that the holder relays as it appends them. */
+    private final class RelayedRecordReader implements RecordRelay.Reader {
+        // A process that reads a record late waits correspondingly longer before it claims, so a
+        // relayed record is safe to use. Records missing before it have to be read from the store.
         @Override
         public void onBatch(RecordBatch batch, long wholeAtMillis) {
             if (lease.mustRead() || batch.from() != lease.readFrom()) {
@@ -152,33 +157,33 @@
             }
             long nowMillis = ControlThread.nowMillis();
             batch.records().stream()
-                    .flatMap(record -> DutyRecords.lease(record).stream())
+                    .flatMap(record -> DutyRecords.decodeLease(record).stream())
                     .forEach(content -> lease.read(batch.from(), content, nowMillis));
-            nextWatchMillis = nowMillis + RELAYED_WATCH_MILLIS;
+            nextReadMillis = nowMillis + RELAYED_READ_INTERVAL_MILLIS;
         }
 
         @Override
         public void onLost() {
-            nextWatchMillis = ControlThread.nowMillis();
+            nextReadMillis = ControlThread.nowMillis();
         }
     }
 
     private void tick() {
-        noticeFreeze();
-        noteChange();
+        detectFreeze();
+        logHeldChange();
         relay.holder(lease.holds(ControlThread.nowMillis()), lease.otherHolderContact());
-        if (calling) {
+        if (callPending) {
             return;
         }
         long nowMillis = ControlThread.nowMillis();
-        if (lease.mustRead() || !lease.holds(nowMillis) && nowMillis >= nextWatchMillis) {
+        if (lease.mustRead() || !lease.holds(nowMillis) && nowMillis >= nextReadMillis) {
             read();
             return;
         }
         lease.tick(nowMillis).ifPresent(this::append);
     }
 
-    private void noteChange() {
+    private void logHeldChange() {
         boolean holds = lease.holds(ControlThread.nowMillis());
         if (holds != held) {
             held = holds;
@@ -187,39 +192,40 @@
     }
 
     private void read() {
-        calling = true;
-        nextWatchMillis = ControlThread.nowMillis() + WATCH_MILLIS;
+        callPending = true;
+        nextReadMillis = ControlThread.nowMillis() + READ_INTERVAL_MILLIS;
         topics.read(part, lease.readFrom(), 0)
-                .thenAccept(answer -> control.post(() -> readDone(answer)));
+                .thenAccept(answer -> control.post(() -> handleReadAnswer(answer)));
     }
 
-    private void readDone(TopicAnswer<RecordBatch> answer) {
-        calling = false;
+    private void handleReadAnswer(TopicAnswer<RecordBatch> answer) {
+        callPending = false;
         long nowMillis = ControlThread.nowMillis();
         if (answer instanceof TopicAnswer.Expired<RecordBatch> expired) {
             lease.recordsExpired(expired.first(), nowMillis);
         } else if (answer instanceof TopicAnswer.Done<RecordBatch> done) {
-            noticeEarlierRestore();
-            take(done.value(), nowMillis);
+            detectEarlierRestore();
+            handleBatch(done.value(), nowMillis);
         }
-        // Any other answer: the store is away, nobody can claim; the next tick reads again.
+        // With any other answer the store is unavailable and nobody can claim; a later tick reads.
         leaving.ifPresent(this::release);
     }
 
-    // A process that starts after the store came back from a copy can't tell how long ago that was.
-    // Somebody may hold by a record that is gone.
-    private void noticeEarlierRestore() {
+    // A process that starts after a restore of the store can't tell how long ago the restore was.
+    // Another process may hold the lease by a record that was lost.
+    private void detectEarlierRestore() {
         if (!eraKnown && topics.era().newest() > FIRST_ERA) {
             lease.logRestored(ControlThread.nowMillis());
         }
         eraKnown = true;
     }
 
-    private void take(RecordBatch batch, long nowMillis) {
+    private void handleBatch(RecordBatch batch, long nowMillis) {
         long offset = batch.from();
         for (byte[] record : batch.records()) {
-            long at = offset++;
-            DutyRecords.lease(record).ifPresent(content -> lease.read(at, content, nowMillis));
+            long recordOffset = offset++;
+            DutyRecords.decodeLease(record)
+                    .ifPresent(content -> lease.read(recordOffset, content, nowMillis));
         }
         if (batch.next() >= batch.end()) {
             lease.caughtUp(nowMillis);
@@ -229,17 +235,17 @@
     }
 
     private void append(ConditionalLease.Append append) {
-        calling = true;
-        List<byte[]> record = List.of(DutyRecords.encode(append.content()));
-        topics.append(part, record, OptionalLong.of(append.expectedEnd()))
-                .thenAccept(answer -> control.post(() -> appended(answer, record)));
+        callPending = true;
+        List<byte[]> records = List.of(DutyRecords.encode(append.content()));
+        topics.append(part, records, OptionalLong.of(append.expectedEnd()))
+                .thenAccept(answer -> control.post(() -> handleAppendAnswer(answer, records)));
     }
 
-    private void appended(TopicAnswer<Long> answer, List<byte[]> record) {
-        calling = false;
+    private void handleAppendAnswer(TopicAnswer<Long> answer, List<byte[]> records) {
+        callPending = false;
         if (answer instanceof TopicAnswer.Done<Long> done) {
             lease.appended(done.value(), ControlThread.nowMillis());
-            relay.publish(part, new RecordBatch(done.value(), record, done.value() + 1));
+            relay.publish(part, new RecordBatch(done.value(), records, done.value() + 1));
         } else if (answer instanceof TopicAnswer.Conflict<Long>) {
             lease.appendConflicted();
         } else if (answer instanceof TopicAnswer.Unknown<Long>) {
@@ -247,14 +253,14 @@
         } else {
             lease.appendRejected();
         }
-        noteChange();
+        logHeldChange();
         leaving.ifPresent(this::release);
     }
 
     /**
-     * Gives the lease up, so that another daemon need not wait for it to lapse.
+     * Releases the lease, so that another daemon does not have to wait until it expires.
      *
-     * @return completed when that is written, or there is nothing to write
+     * @return a future that completes when the release is written, or nothing has to be written
      */
     CompletableFuture<Void> leave() {
         CompletableFuture<Void> done = new CompletableFuture<>();
@@ -263,11 +269,11 @@
         return done;
     }
 
-    // A renewal or a read may be on its way. The release written before its answer would expect the
-    // log to end where it no longer does and be refused, and the next holder would wait for the
-    // lease to lapse; so it follows the answer.
+    // A renewal or a read may be pending. A release sent before its answer would expect an outdated
+    // end of the log and be rejected, and the next holder would have to wait until the lease
+    // expires; so the release is sent after the answer.
     private void release(CompletableFuture<Void> done) {
-        if (calling) {
+        if (callPending) {
             return;
         }
         Optional<ConditionalLease.Append> release = lease.release(ControlThread.nowMillis());
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/OrderGiver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/OrderGiver.java
@@ -31,44 +31,50 @@
 import org.tamaracktrack.core.route.ServingConfiguration;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
-/** Gives orders to the engines while this daemon has the lease. On the control thread. */
+/**
+ * Plans and sends orders to engines while this daemon holds the lease. Used on the control thread
+ * only.
+ */
 final class OrderGiver {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.orders");
     private static final long TICK_MILLIS = 100;
 
-    /** A report is asked for again after this long when none came. */
-    private static final long REPORT_EVERY_MILLIS = 300;
+    /** How long after an unanswered request for a report the next one is sent. */
+    private static final long REPORT_RETRY_MILLIS = 300;
 
-    /** Orders begun in one tick at most; the rest follows a tenth of a second later. */
-    private static final int MOST_ORDERS = 16;
+    /** Limits the orders sent in one tick; the others follow in the next tick. */
+    private static final int MAXIMUM_ORDERS_PER_TICK = 16;
 
-    /** How often the log may tell which engines take no orders; such states last for seconds. */
-    private static final long STATES_EVERY_MILLIS = 2_000;
+    /**
+     * The minimum interval between two log lines on engine states; states in which an engine
+     * accepts no orders last for seconds.
+     */
+    private static final long STATE_LOG_INTERVAL_MILLIS = 2_000;
 
     /**
-     * After a pass that found nothing to move, and while no request waits for a copy, the next
-     * whole one comes this many times its duration later, so that the passes take a small part of
-     * the thread on any host.
+     * After a planning pass that found nothing to move, the next complete pass begins this many
+     * times its duration later, unless a request waits for a replica. The passes thereby take a
+     * small share of the control thread on any host.
      */
-    private static final long REST_FACTOR = 20;
+    private static final long PLANNING_PAUSE_FACTOR = 20;
 
     private final EngineOrders orders;
     private final LeaseDriver lease;
     private final ControlThread control;
     private final DemandTracker demand;
     private final HoldingsExchange holdings;
-    private final long pauseMillis;
-    private final StoreLoadLimiter pace = StoreLoadLimiter.empty();
-    private final UnansweredOrders unanswered = UnansweredOrders.none();
+    private final long handoverPauseMillis;
+    private final StoreLoadLimiter storeLoadLimiter = StoreLoadLimiter.empty();
+    private final UnansweredOrders unansweredOrders = UnansweredOrders.none();
     private final Map<ServiceId, EngineCapacity> capacities = new HashMap<>();
-    private final Map<TargetIncarnation, EngineTracker> books = new HashMap<>();
-    private final Map<TargetIncarnation, Long> askedAtMillis = new HashMap<>();
+    private final Map<TargetIncarnation, EngineTracker> trackers = new HashMap<>();
+    private final Map<TargetIncarnation, Long> reportRequestedAtMillis = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private FleetSnapshot fleet = FleetSnapshot.empty();
     private long lastTerm = -1;
     private Map<EngineState, Long> loggedStates = Map.of();
     private long statesLoggedMillis;
-    private final Map<ServiceId, Long> planAgainMillis = new HashMap<>();
+    private final Map<ServiceId, Long> nextPlanningMillis = new HashMap<>();
 
     private OrderGiver(
             EngineOrders orders,
@@ -76,13 +82,13 @@
             ControlThread control,
             DemandTracker demand,
             HoldingsExchange holdings,
-            long pauseMillis) {
+            long handoverPauseMillis) {
         this.orders = orders;
         this.lease = lease;
         this.control = control;
         this.demand = demand;
         this.holdings = holdings;
-        this.pauseMillis = pauseMillis;
+        this.handoverPauseMillis = handoverPauseMillis;
     }
 
     static OrderGiver start(
@@ -91,9 +97,10 @@
             ControlThread control,
             DemandTracker demand,
             HoldingsExchange holdings,
-            long pauseMillis) {
+            long handoverPauseMillis) {
         Objects.requireNonNull(orders, "orders is null");
-        OrderGiver giver = new OrderGiver(orders, lease, control, demand, holdings, pauseMillis);
+        OrderGiver giver =
+                new OrderGiver(orders, lease, control, demand, holdings, handoverPauseMillis);
         control.every(TICK_MILLIS, giver::tick);
         return giver;
     }
@@ -102,12 +109,12 @@
         configuration = Optional.of(newer);
     }
 
-    void fleet(FleetSnapshot newer) {
+    void updateFleet(FleetSnapshot newer) {
         fleet = newer;
         Set<TargetIncarnation> known =
                 newer.all().map(TargetEntry::incarnation).collect(Collectors.toSet());
-        books.keySet().retainAll(known);
-        askedAtMillis.keySet().retainAll(known);
+        trackers.keySet().retainAll(known);
+        reportRequestedAtMillis.keySet().retainAll(known);
     }
 
     private void tick() {
@@ -117,30 +124,30 @@
             return;
         }
         if (permit.get().term() != lastTerm) {
-            // What another holder ordered meanwhile is not in these books.
-            books.clear();
+            // The trackers lack the orders that another holder sent in the meantime.
+            trackers.clear();
             lastTerm = permit.get().term();
-            if (!permit.get().first()) {
-                followAnother();
+            if (!permit.get().firstHolder()) {
+                assumeLoadsOfFormerHolder();
             }
             LOG.info("event=order-duty-begins term=" + lastTerm);
         }
         demand.decay(ControlThread.nowMillis());
-        Asked asked = Asked.of(demand);
+        DemandSnapshot snapshot = DemandSnapshot.of(demand);
         configuration.stream()
                 .flatMap(inForce -> inForce.services().values().stream())
-                .forEach(service -> serve(service, asked, permit.get()));
-        holdings.publish(sure());
+                .forEach(service -> placeModels(service, snapshot, permit.get()));
+        holdings.publish(confirmedModels());
         logStates();
     }
 
     private void logStates() {
         long nowMillis = ControlThread.nowMillis();
-        if (nowMillis - statesLoggedMillis < STATES_EVERY_MILLIS) {
+        if (nowMillis - statesLoggedMillis < STATE_LOG_INTERVAL_MILLIS) {
             return;
         }
         Map<EngineState, Long> counts =
-                books.values().stream()
+                trackers.values().stream()
                         .collect(
                                 Collectors.groupingBy(
                                         EngineTracker::state,
@@ -153,37 +160,38 @@
         }
     }
 
-    private Map<TargetIncarnation, Map<ModelId, HeldModel>> sure() {
+    private Map<TargetIncarnation, Map<ModelId, HeldModel>> confirmedModels() {
         long nowMillis = ControlThread.nowMillis();
-        Map<TargetIncarnation, Map<ModelId, HeldModel>> sure = new HashMap<>();
-        books.forEach(
-                (engine, book) ->
-                        book.confirmedModels(nowMillis).ifPresent(held -> sure.put(engine, held)));
-        return sure;
+        Map<TargetIncarnation, Map<ModelId, HeldModel>> confirmed = new HashMap<>();
+        trackers.forEach(
+                (engine, tracker) ->
+                        tracker.confirmedModels(nowMillis)
+                                .ifPresent(held -> confirmed.put(engine, held)));
+        return confirmed;
     }
 
-    private void followAnother() {
+    private void assumeLoadsOfFormerHolder() {
         configuration.stream()
                 .flatMap(inForce -> inForce.services().values().stream())
                 .flatMap(service -> service.engine().stream())
                 .forEach(
                         engine ->
-                                pace.assumeFullWindow(
+                                storeLoadLimiter.assumeFullWindow(
                                         engine.loadsPerSecond(),
-                                        ControlThread.nowMillis() - pauseMillis));
+                                        ControlThread.nowMillis() - handoverPauseMillis));
     }
 
-    /** Demand as of a tick, which gives up to sixteen orders by it. */
-    private record Asked(
-            Map<ModelId, Double> quick,
-            Map<ModelId, Double> slow,
+    /** The demand at the start of a tick, on which all orders of the tick are based. */
+    private record DemandSnapshot(
+            Map<ModelId, Double> shortTerm,
+            Map<ModelId, Double> longTerm,
             Map<ModelId, Double> expected,
             Map<ModelNeed, Integer> waiting,
             Map<ModelId, Integer> waitingByModel) {
 
-        static Asked of(DemandTracker demand) {
+        static DemandSnapshot of(DemandTracker demand) {
             Map<ModelNeed, Integer> waiting = demand.waiting();
-            return new Asked(
+            return new DemandSnapshot(
                     demand.shortTermDemand(),
                     demand.longTermDemand(),
                     demand.expectedDemand(),
@@ -195,94 +203,101 @@
                                             Collectors.summingInt(Map.Entry::getValue))));
         }
 
-        double perSecond() {
-            return quick.values().stream().mapToDouble(Double::doubleValue).sum();
+        double totalPerSecond() {
+            return shortTerm.values().stream().mapToDouble(Double::doubleValue).sum();
         }
     }
 
-    private void serve(ServiceSpecification service, Asked asked, LeaseDriver.Permit permit) {
-        service.engine().ifPresent(engine -> serve(service.service(), engine, asked, permit));
+    private void placeModels(
+            ServiceSpecification service, DemandSnapshot snapshot, LeaseDriver.Permit permit) {
+        service.engine()
+                .ifPresent(engine -> placeModels(service.service(), engine, snapshot, permit));
     }
 
-    private void serve(
-            ServiceId service, EngineSpecification engine, Asked asked, LeaseDriver.Permit permit) {
+    private void placeModels(
+            ServiceId service,
+            EngineSpecification engine,
+            DemandSnapshot snapshot,
+            LeaseDriver.Permit permit) {
         Map<TargetIncarnation, TargetEntry> entries =
                 fleet.ready(service)
                         .collect(Collectors.toMap(TargetEntry::incarnation, Function.identity()));
-        entries.values().forEach(this::askForReport);
+        entries.values().forEach(this::requestReport);
         Map<TargetIncarnation, EngineTracker> engines =
                 entries.keySet().stream()
-                        .filter(name -> books.get(name).hasReport())
-                        .collect(Collectors.toMap(Function.identity(), books::get));
+                        .filter(name -> trackers.get(name).hasReport())
+                        .collect(Collectors.toMap(Function.identity(), trackers::get));
         capacity(service)
                 .update(
                         engines.values().stream().mapToInt(EngineTracker::running).sum(),
-                        asked.perSecond(),
+                        snapshot.totalPerSecond(),
                         ControlThread.nowMillis());
-        for (int count = 0; count < MOST_ORDERS; count++) {
-            if (!giveNext(service, entries, engine, engines, asked, permit)) {
+        for (int count = 0; count < MAXIMUM_ORDERS_PER_TICK; count++) {
+            if (!sendNextOrder(service, entries, engine, engines, snapshot, permit)) {
                 return;
             }
         }
     }
 
-    private boolean giveNext(
+    private boolean sendNextOrder(
             ServiceId service,
             Map<TargetIncarnation, TargetEntry> entries,
             EngineSpecification engine,
             Map<TargetIncarnation, EngineTracker> engines,
-            Asked asked,
+            DemandSnapshot snapshot,
             LeaseDriver.Permit permit) {
-        Optional<AdapterPlanner.Move> adapter =
-                AdapterPlanner.next(adapterView(engine, engines, asked));
-        if (adapter.filter(AdapterPlanner.Move::isUrgent).isPresent()) {
-            give(entries, adapter.get().order(), asked, permit);
+        Optional<AdapterPlanner.Move> adapterMove =
+                AdapterPlanner.next(adapterView(engine, engines, snapshot));
+        if (adapterMove.filter(AdapterPlanner.Move::isUrgent).isPresent()) {
+            sendOrder(entries, adapterMove.get().order(), snapshot, permit);
             return true;
         }
-        Optional<ReplicaPlanner.Move> copy =
-                nextCopy(service, copyView(service, engine, engines, asked));
-        if (copy.isPresent()) {
-            give(entries, copy.get().order(), asked, permit);
-            copy.filter(chosen -> chosen.victim().isPresent())
-                    .ifPresent(chosen -> books.get(chosen.engine()).reserveFor(chosen.model()));
+        Optional<ReplicaPlanner.Move> replicaMove =
+                nextReplicaMove(service, replicaView(service, engine, engines, snapshot));
+        if (replicaMove.isPresent()) {
+            sendOrder(entries, replicaMove.get().order(), snapshot, permit);
+            replicaMove
+                    .filter(move -> move.victim().isPresent())
+                    .ifPresent(move -> trackers.get(move.engine()).reserveFor(move.model()));
             return true;
         }
-        adapter.ifPresent(move -> give(entries, move.order(), asked, permit));
-        return adapter.isPresent();
+        adapterMove.ifPresent(move -> sendOrder(entries, move.order(), snapshot, permit));
+        return adapterMove.isPresent();
     }
 
     private EngineCapacity capacity(ServiceId service) {
         return capacities.computeIfAbsent(service, name -> EngineCapacity.unknown());
     }
 
-    private Optional<ReplicaPlanner.Move> nextCopy(ServiceId service, ReplicaPlanner.View view) {
-        long restsUntilMillis = planAgainMillis.getOrDefault(service, Long.MIN_VALUE);
-        if (view.waiting().isEmpty() && view.nowMillis() < restsUntilMillis) {
+    private Optional<ReplicaPlanner.Move> nextReplicaMove(
+            ServiceId service, ReplicaPlanner.View view) {
+        long pausedUntilMillis = nextPlanningMillis.getOrDefault(service, Long.MIN_VALUE);
+        if (view.waiting().isEmpty() && view.nowMillis() < pausedUntilMillis) {
             return ReplicaPlanner.startedMove(view);
         }
         Optional<ReplicaPlanner.Move> move = ReplicaPlanner.next(view);
         if (move.isEmpty()) {
             long endMillis = ControlThread.nowMillis();
-            long tookMillis = endMillis - view.nowMillis();
-            planAgainMillis.put(service, endMillis + REST_FACTOR * tookMillis);
+            long durationMillis = endMillis - view.nowMillis();
+            nextPlanningMillis.put(service, endMillis + PLANNING_PAUSE_FACTOR * durationMillis);
         }
         return move;
     }
 
-    private ReplicaPlanner.View copyView(
+    private ReplicaPlanner.View replicaView(
             ServiceId service,
             EngineSpecification engine,
             Map<TargetIncarnation, EngineTracker> engines,
-            Asked asked) {
+            DemandSnapshot snapshot) {
         return new ReplicaPlanner.View(
                 engine,
                 engines,
-                asked.quick(),
-                asked.expected(),
-                asked.waitingByModel(),
+                snapshot.shortTerm(),
+                snapshot.expected(),
+                snapshot.waitingByModel(),
                 demand::demandUrgency,
                 demand.settled(ControlThread.nowMillis()),
-                pace.allows(engine.loadsPerSecond(), ControlThread.nowMillis()),
+                storeLoadLimiter.allows(engine.loadsPerSecond(), ControlThread.nowMillis()),
                 capacity(service).saturationRate(engine.slots()),
                 ControlThread.nowMillis());
     }
@@ -290,52 +305,55 @@
     private AdapterPlanner.View adapterView(
             EngineSpecification engine,
             Map<TargetIncarnation, EngineTracker> engines,
-            Asked asked) {
+            DemandSnapshot snapshot) {
         return new AdapterPlanner.View(
                 engine,
                 engines,
-                asked.slow().keySet(),
+                snapshot.longTerm().keySet(),
                 demand::longTermDemand,
-                asked.waiting(),
-                unanswered.anyRecent(ControlThread.nowMillis()),
+                snapshot.waiting(),
+                unansweredOrders.anyRecent(ControlThread.nowMillis()),
                 ControlThread.nowMillis());
     }
 
-    private void askForReport(TargetEntry entry) {
+    private void requestReport(TargetEntry entry) {
         long nowMillis = ControlThread.nowMillis();
-        EngineTracker book =
-                books.computeIfAbsent(
+        EngineTracker tracker =
+                trackers.computeIfAbsent(
                         entry.incarnation(), name -> EngineTracker.of(entry.dataCentre()));
-        long asked = askedAtMillis.getOrDefault(entry.incarnation(), Long.MIN_VALUE / 2);
-        if (!book.needsReport(nowMillis) || nowMillis - asked < REPORT_EVERY_MILLIS) {
+        long requestedAtMillis =
+                reportRequestedAtMillis.getOrDefault(entry.incarnation(), Long.MIN_VALUE / 2);
+        if (!tracker.needsReport(nowMillis)
+                || nowMillis - requestedAtMillis < REPORT_RETRY_MILLIS) {
             return;
         }
-        askedAtMillis.put(entry.incarnation(), nowMillis);
+        reportRequestedAtMillis.put(entry.incarnation(), nowMillis);
         orders.report(entry)
-                .thenAccept(report -> control.post(() -> reported(entry, report, nowMillis)));
+                .thenAccept(report -> control.post(() -> handleReport(entry, report, nowMillis)));
     }
 
-    private void reported(TargetEntry entry, Optional<EngineReport> report, long askedAt) {
-        EngineTracker book = books.get(entry.incarnation());
-        if (book == null || report.isEmpty()) {
+    private void handleReport(
+            TargetEntry entry, Optional<EngineReport> report, long requestedAtMillis) {
+        EngineTracker tracker = trackers.get(entry.incarnation());
+        if (tracker == null || report.isEmpty()) {
             return;
         }
-        book.applyReport(report.get(), askedAt);
+        tracker.applyReport(report.get(), requestedAtMillis);
     }
 
-    private void give(
+    private void sendOrder(
             Map<TargetIncarnation, TargetEntry> entries,
             PlacementOrder order,
-            Asked asked,
+            DemandSnapshot snapshot,
             LeaseDriver.Permit permit) {
         TargetEntry target = entries.get(order.engine());
-        EngineTracker book = books.get(order.engine());
+        EngineTracker tracker = trackers.get(order.engine());
         long nowMillis = ControlThread.nowMillis();
-        if (fromStore(book, order)) {
-            pace.recordLoad(nowMillis);
+        if (loadsFromStore(tracker, order)) {
+            storeLoadLimiter.recordLoad(nowMillis);
         }
         EngineOrders.Authority authority =
-                new EngineOrders.Authority(permit.term(), book.beginOrder(order));
+                new EngineOrders.Authority(permit.term(), tracker.beginOrder(order));
         LOG.info(
                 "event=order engine="
                         + order.engine()
@@ -349,39 +367,39 @@
                         + " expected_orders="
                         + authority.expectedOrders()
                         + " holds="
-                        + book.held()
+                        + tracker.held()
                         + " demand="
-                        + asked.quick().getOrDefault(order.model(), 0.0));
-        orders.send(target, order, authority, permit::valid)
-                .thenAccept(outcome -> control.post(() -> settled(order, outcome)));
+                        + snapshot.shortTerm().getOrDefault(order.model(), 0.0));
+        orders.send(target, order, authority, permit::isValid)
+                .thenAccept(outcome -> control.post(() -> handleOutcome(order, outcome)));
     }
 
-    private static boolean fromStore(EngineTracker book, PlacementOrder order) {
+    private static boolean loadsFromStore(EngineTracker tracker, PlacementOrder order) {
         return order.load()
                 && order.isModelOrder()
-                && !book.inMemory(order.model())
-                && !book.onDisk(order.model());
+                && !tracker.inMemory(order.model())
+                && !tracker.onDisk(order.model());
     }
 
-    private void settled(PlacementOrder order, EngineOrders.Outcome outcome) {
+    private void handleOutcome(PlacementOrder order, EngineOrders.Outcome outcome) {
         if (outcome != EngineOrders.Outcome.ACCEPTED) {
             LOG.info("event=order-not-taken engine=" + order.engine() + " outcome=" + outcome);
         }
         if (outcome == EngineOrders.Outcome.UNKNOWN) {
-            unanswered.recordUnanswered(ControlThread.nowMillis());
+            unansweredOrders.recordUnanswered(ControlThread.nowMillis());
         }
-        EngineTracker book = books.get(order.engine());
-        if (book == null) {
+        EngineTracker tracker = trackers.get(order.engine());
+        if (tracker == null) {
             return;
         }
         if (outcome == EngineOrders.Outcome.ACCEPTED) {
-            book.orderAccepted(ControlThread.nowMillis());
-            // The engine may take the next one at once; adapters come in rows of eight.
+            tracker.orderAccepted(ControlThread.nowMillis());
+            // The engine may accept the next order at once; adapters are loaded in series of eight.
             tick();
-        } else if (outcome == EngineOrders.Outcome.NOT_TAKEN && book.busy() && order.load()) {
-            book.reservedLoadRefused(order.model(), ControlThread.nowMillis());
+        } else if (outcome == EngineOrders.Outcome.NOT_TAKEN && tracker.busy() && order.load()) {
+            tracker.reservedLoadRefused(order.model(), ControlThread.nowMillis());
         } else {
-            book.orderOutcomeUnknown();
+            tracker.orderOutcomeUnknown();
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/package-info.java
@@ -1,2 +1,5 @@
-/** The duty of giving orders to engines: who has it, what it sees, and the orders themselves. */
+/**
+ * The duty of placing models on engines, which one daemon at a time holds by a lease: the lease,
+ * the demand and engine state that are exchanged for it, and the orders that are sent to engines.
+ */
 package org.tamaracktrack.daemon.copies;
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
@@ -24,9 +24,9 @@
     private static final TopicPart DEMAND = new TopicPart("duties", 1);
     private static final ModelId MODEL = ModelId.of("model");
     private static final ModelNeed NEED = new ModelNeed(MODEL, Optional.empty());
-    private static final DemandTracker.DemandCounts NOTHING =
+    private static final DemandTracker.DemandCounts NO_DEMAND =
             new DemandTracker.DemandCounts(Map.of(), Map.of(), Map.of());
-    private static final DemandTracker.DemandCounts ASKED =
+    private static final DemandTracker.DemandCounts ONE_REQUEST =
             new DemandTracker.DemandCounts(Map.of(NEED, 1), Map.of(), Map.of());
 
     private RelayPair pair;
@@ -41,13 +41,13 @@
         pair.close();
     }
 
-    private DemandTracker daemon(
+    private DemandTracker startDaemon(
             String name,
             RecordRelay relay,
             MemoryLog leases,
             MemoryLog demands,
-            DemandTracker.DemandCounts seen) {
-        DemandTracker book = DemandTracker.empty();
+            DemandTracker.DemandCounts counts) {
+        DemandTracker demandTracker = DemandTracker.empty();
         pair.onControl(
                 () -> {
                     LeaseDriver lease =
@@ -68,44 +68,46 @@
                             pair.control(),
                             lease,
                             relay,
-                            book,
-                            () -> CompletableFuture.completedFuture(seen));
+                            demandTracker,
+                            () -> CompletableFuture.completedFuture(counts));
                 });
-        return book;
+        return demandTracker;
     }
 
-    private boolean knows(DemandTracker book) {
-        return book.demandUrgency(MODEL) == DemandUrgency.URGENT;
+    private boolean hasUrgentDemand(DemandTracker demandTracker) {
+        return demandTracker.demandUrgency(MODEL) == DemandUrgency.URGENT;
     }
 
     @Test
-    void shouldTellTheHolderWithoutTheLog() {
+    void shouldReportToTheHolderWithoutTheLog() {
         MemoryLog leases = new MemoryLog();
-        DemandTracker holder = daemon("holder", pair.holder(), leases, new MemoryLog(), NOTHING);
+        DemandTracker holder =
+                startDaemon("holder", pair.holder(), leases, new MemoryLog(), NO_DEMAND);
         pair.await(pair.holder()::holding);
-        daemon("other", pair.follower(), leases, new MemoryLog(), ASKED);
+        startDaemon("other", pair.follower(), leases, new MemoryLog(), ONE_REQUEST);
 
-        pair.await(() -> knows(holder));
+        pair.await(() -> hasUrgentDemand(holder));
         pair.onControl(
                 () -> assertThat(holder.demandUrgency(MODEL)).isEqualTo(DemandUrgency.URGENT));
     }
 
-    // The daemon that gives orders is killed. What it was told went over connections and is lost
-    // with it; the next one still has to know which models were ever asked for, or it keeps copies
-    // of all of them.
+    // Guards against a new holder that keeps replicas of all models: the reports sent to the former
+    // holder over connections are lost when it is killed, but the new one has to know which models
+    // were ever requested.
     @Test
-    void shouldRememberWhatTheHolderBeforeWasTold() {
+    void shouldRestoreRequestedModelsAfterTheHolderIsKilled() {
         MemoryLog leases = new MemoryLog();
         MemoryLog demands = new MemoryLog();
-        DemandTracker holder = daemon("holder", pair.holder(), leases, demands, NOTHING);
+        DemandTracker holder = startDaemon("holder", pair.holder(), leases, demands, NO_DEMAND);
         pair.await(pair.holder()::holding);
-        daemon("other", pair.follower(), leases, new MemoryLog(), ASKED);
-        pair.await(() -> knows(holder));
+        startDaemon("other", pair.follower(), leases, new MemoryLog(), ONE_REQUEST);
+        pair.await(() -> hasUrgentDemand(holder));
         pair.await(() -> !demands.records().isEmpty());
 
-        DemandTracker next = daemon("next", pair.unconnected(), new MemoryLog(), demands, NOTHING);
+        DemandTracker next =
+                startDaemon("next", pair.unconnected(), new MemoryLog(), demands, NO_DEMAND);
 
-        pair.await(() -> knows(next));
+        pair.await(() -> hasUrgentDemand(next));
         pair.onControl(() -> assertThat(next.demandUrgency(MODEL)).isEqualTo(DemandUrgency.URGENT));
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
@@ -30,30 +30,30 @@
     }
 
     @Nested
-    class Leases {
+    class LeaseRecords {
 
         @Test
-        void shouldReadWhatItWrote() {
+        void shouldDecodeAnEncodedRecord() {
             LeaseRecord record =
                     new LeaseRecord(
                             "host", 7, true, false, 3, Optional.of(new Contact("10.0.0.1:9", "s")));
 
-            assertThat(DutyRecords.lease(DutyRecords.encode(record)))
+            assertThat(DutyRecords.decodeLease(DutyRecords.encode(record)))
                     .isEqualTo(Optional.of(record));
         }
 
         @ParameterizedTest
         @ValueSource(strings = {"", "{", "[]", "{\"term\":1}", "{\"holder\":1}"})
-        void shouldTakeNothingFromWhatIsNoRecord(String text) {
-            assertThat(DutyRecords.lease(bytes(text))).isEmpty();
+        void shouldReturnEmptyWhenBytesAreNotARecord(String text) {
+            assertThat(DutyRecords.decodeLease(bytes(text))).isEmpty();
         }
     }
 
     @Nested
-    class Demands {
+    class DemandRecords {
 
         @Test
-        void shouldReadWhatItWrote() {
+        void shouldDecodeAnEncodedRecord() {
             ModelNeed need = new ModelNeed(MODEL, Optional.of(AdapterId.of("adapter")));
             DutyRecords.DemandRecord record =
                     new DutyRecords.DemandRecord(
@@ -61,27 +61,28 @@
                             new DemandTracker.DemandCounts(
                                     Map.of(need, 2), Map.of(), Map.of(need, 1)));
 
-            assertThat(DutyRecords.demand(DutyRecords.encode(record)))
+            assertThat(DutyRecords.decodeDemand(DutyRecords.encode(record)))
                     .isEqualTo(Optional.of(record));
         }
 
         @Test
-        void shouldLeaveOutANameThatIsNone() {
+        void shouldOmitAnInvalidName() {
             DutyRecords.DemandRecord record =
-                    DutyRecords.demand(bytes("{\"process\":\"p\",\"urgent\":{\"\":1,\"model\":2}}"))
+                    DutyRecords.decodeDemand(
+                                    bytes("{\"process\":\"p\",\"urgent\":{\"\":1,\"model\":2}}"))
                             .orElseThrow();
 
-            assertThat(record.seen().urgent())
+            assertThat(record.counts().urgent())
                     .containsExactly(new ModelNeed(MODEL, Optional.empty()), 2);
         }
     }
 
     @Nested
-    class HoldingsOfEngines {
+    class HoldingRecords {
         private final TargetIncarnation engine = new TargetIncarnation(TargetId.of("engine"), 5);
 
         @Test
-        void shouldReadWhatItWrote() {
+        void shouldDecodeAnEncodedRecord() {
             DutyRecords.Holding holding =
                     new DutyRecords.Holding(
                             engine,
@@ -92,22 +93,23 @@
                                                             MODEL,
                                                             Set.of(AdapterId.of("adapter")))))));
 
-            assertThat(DutyRecords.holding(DutyRecords.encode(holding)))
+            assertThat(DutyRecords.decodeHolding(DutyRecords.encode(holding)))
                     .isEqualTo(Optional.of(holding));
         }
 
         @Test
-        void shouldTellNothingHeldFromNoLongerSure() {
+        void shouldDistinguishNoModelsFromUnknownModels() {
             DutyRecords.Holding empty = new DutyRecords.Holding(engine, Optional.of(Map.of()));
             DutyRecords.Holding unsure = new DutyRecords.Holding(engine, Optional.empty());
 
-            assertThat(DutyRecords.holding(DutyRecords.encode(empty)))
+            assertThat(DutyRecords.decodeHolding(DutyRecords.encode(empty)))
                     .isEqualTo(Optional.of(empty));
-            assertThat(DutyRecords.holding(DutyRecords.encode(unsure)))
+            assertThat(DutyRecords.decodeHolding(DutyRecords.encode(unsure)))
                     .isEqualTo(Optional.of(unsure));
         }
 
-        // One record that can't be read must not keep the others of its message from being taken.
+        // Guards against one unreadable record that prevents the others of its message from being
+        // applied.
         @ParameterizedTest
         @ValueSource(
                 strings = {
@@ -117,8 +119,8 @@
                     "{\"target\":\"t\",\"models\":{\"\":[]}}",
                     "{\"target\":\"t\",\"models\":{\"m\":[{}]}}"
                 })
-        void shouldTakeNothingFromWhatIsNoRecord(String text) {
-            assertThat(DutyRecords.holding(bytes(text))).isEmpty();
+        void shouldReturnEmptyWhenBytesAreNotARecord(String text) {
+            assertThat(DutyRecords.decodeHolding(bytes(text))).isEmpty();
         }
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/HoldingsExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/HoldingsExchangeTest.java
@@ -34,17 +34,17 @@
                                     MODEL, Set.of(AdapterId.of("one"), AdapterId.of("two")))));
 
     private RelayPair pair;
-    private HoldingsExchange giver;
-    private HoldingsExchange other;
-    private volatile FleetSnapshot known = FleetSnapshot.empty();
+    private HoldingsExchange holderExchange;
+    private HoldingsExchange followerExchange;
+    private volatile FleetSnapshot latestFleet = FleetSnapshot.empty();
 
     @BeforeEach
     void start() throws IOException {
         pair = RelayPair.start();
-        giver = HoldingsExchange.start(PART, pair.holder(), pair.control(), fleet -> {});
-        other =
+        holderExchange = HoldingsExchange.start(PART, pair.holder(), pair.control(), fleet -> {});
+        followerExchange =
                 HoldingsExchange.start(
-                        PART, pair.follower(), pair.control(), fleet -> known = fleet);
+                        PART, pair.follower(), pair.control(), fleet -> latestFleet = fleet);
         TargetEntry entry =
                 new TargetEntry(
                         ENGINE,
@@ -57,7 +57,10 @@
                         Map.of(),
                         Set.of(),
                         Set.of());
-        pair.onControl(() -> other.fleet(FleetSnapshot.of(Map.of(ENGINE.target(), entry))));
+        pair.onControl(
+                () ->
+                        followerExchange.updateFleet(
+                                FleetSnapshot.of(Map.of(ENGINE.target(), entry))));
     }
 
     @AfterEach
@@ -66,63 +69,65 @@
     }
 
     private Map<ModelId, HeldModel> held() {
-        return known.entry(ENGINE.target()).orElseThrow().models();
+        return latestFleet.entry(ENGINE.target()).orElseThrow().models();
     }
 
-    private void awaitTheRegistrysWord() {
+    private void awaitRegistryState() {
         pair.await(() -> held().isEmpty());
         assertThat(held()).isEmpty();
     }
 
-    // The giver says it once, before the other daemon has a connection: it has to hear it anyhow.
+    // Guards against a daemon that never receives holdings because they were published only once,
+    // before it was connected.
     @Test
-    void shouldTellANewcomerWhatWasSaidBefore() {
+    void shouldSendEarlierHoldingsToANewFollower() {
         pair.onControl(() -> pair.holder().holder(true, Optional.empty()));
-        pair.onControl(() -> giver.publish(Map.of(ENGINE, HELD)));
+        pair.onControl(() -> holderExchange.publish(Map.of(ENGINE, HELD)));
         pair.hold();
 
         pair.await(
                 () -> {
-                    giver.publish(Map.of(ENGINE, HELD));
+                    holderExchange.publish(Map.of(ENGINE, HELD));
                     return held().equals(HELD);
                 });
         assertThat(held()).isEqualTo(HELD);
     }
 
     @Test
-    void shouldGoBackToTheRegistryWhenTheGiverIsNoLongerSure() {
-        shouldTellANewcomerWhatWasSaidBefore();
+    void shouldReturnToTheRegistryWhenHoldingsAreNoLongerConfirmed() {
+        shouldSendEarlierHoldingsToANewFollower();
 
-        pair.onControl(() -> giver.publish(Map.of()));
+        pair.onControl(() -> holderExchange.publish(Map.of()));
 
-        awaitTheRegistrysWord();
+        awaitRegistryState();
     }
 
-    // The giver is frozen: its connections stay open, it says nothing more, and what it said
-    // becomes old.
+    // Guards against stale holdings of a frozen holder: its connections stay open, but it sends
+    // nothing more.
     @Test
-    void shouldGoBackToTheRegistryWhenTheGiverFallsSilent() {
-        shouldTellANewcomerWhatWasSaidBefore();
+    void shouldReturnToTheRegistryWhenTheHolderStopsSending() {
+        shouldSendEarlierHoldingsToANewFollower();
 
-        awaitTheRegistrysWord();
+        awaitRegistryState();
     }
 
     @Test
-    void shouldGoBackToTheRegistryWhenTheGiverIsLost() {
-        shouldTellANewcomerWhatWasSaidBefore();
+    void shouldReturnToTheRegistryWhenTheConnectionToTheHolderCloses() {
+        shouldSendEarlierHoldingsToANewFollower();
 
         pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
 
-        awaitTheRegistrysWord();
+        awaitRegistryState();
     }
 
-    // A daemon takes the lease over. What the giver before it said is no longer kept up to date.
+    // Guards against stale holdings after a daemon takes the lease: those that it received from the
+    // former holder are no longer updated.
     @Test
-    void shouldForgetWhatAnotherSaidWhenThisDaemonTakesTheLease() {
-        shouldTellANewcomerWhatWasSaidBefore();
+    void shouldDiscardReceivedHoldingsWhenThisDaemonTakesTheLease() {
+        shouldSendEarlierHoldingsToANewFollower();
 
         pair.onControl(() -> pair.follower().holder(true, Optional.empty()));
 
-        awaitTheRegistrysWord();
+        awaitRegistryState();
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/LeaseDriverTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/LeaseDriverTest.java
@@ -31,7 +31,7 @@
         pair.close();
     }
 
-    private LeaseDriver driver() {
+    private LeaseDriver startDriver() {
         return LeaseDriver.start(
                 log,
                 PART,
@@ -44,20 +44,20 @@
                 pair.follower());
     }
 
-    private LeaseRecord last() {
-        return DutyRecords.lease(log.records().get(log.records().size() - 1)).orElseThrow();
+    private LeaseRecord lastRecord() {
+        return DutyRecords.decodeLease(log.records().get(log.records().size() - 1)).orElseThrow();
     }
 
-    // A planned stop begins while a renewal is on its way. Written at once, the release would
-    // expect the log to end before the renewal and be refused; the next holder would wait for the
-    // lease to lapse.
+    // A planned stop begins while a renewal is pending. A release sent at once would expect the log
+    // to end before the renewal and be rejected, and the next holder would have to wait until the
+    // lease expires.
     @Test
-    void shouldReleaseAfterTheRenewalThatIsOnItsWay() {
-        LeaseDriver driver = driver();
+    void shouldReleaseAfterAPendingRenewal() {
+        LeaseDriver driver = startDriver();
         pair.await(driver::holds);
         int before = log.records().size();
-        CompletableFuture<Void> go = new CompletableFuture<>();
-        pair.onControl(() -> log.holdAppends(go));
+        CompletableFuture<Void> gate = new CompletableFuture<>();
+        pair.onControl(() -> log.holdAppends(gate));
         pair.await(() -> log.records().size() > before);
 
         pair.onControl(
@@ -65,39 +65,39 @@
                     CompletableFuture<Void> left = driver.leave();
                     assertThat(left.isDone()).isFalse();
                 });
-        pair.onControl(() -> go.complete(null));
+        pair.onControl(() -> gate.complete(null));
 
-        pair.await(() -> last().release());
+        pair.await(() -> lastRecord().release());
         pair.onControl(() -> assertThat(driver.holds()).isFalse());
     }
 
-    // The answer to a renewal is lost, so the log is read to find out, and a planned stop begins.
-    // Written before what was read is taken in, the release would expect the log to end before the
-    // renewal and be refused.
+    // The answer to a renewal is lost, so the log is read, and a planned stop begins. A release
+    // sent before the read is complete would expect the log to end before the renewal and be
+    // rejected.
     @Test
-    void shouldReleaseAfterTheReadThatIsOnItsWay() {
-        LeaseDriver driver = driver();
+    void shouldReleaseAfterAPendingRead() {
+        LeaseDriver driver = startDriver();
         pair.await(driver::holds);
-        CompletableFuture<Void> go = new CompletableFuture<>();
+        CompletableFuture<Void> gate = new CompletableFuture<>();
         pair.onControl(
                 () -> {
                     log.loseNextAnswer();
-                    log.holdReads(go);
+                    log.holdReads(gate);
                 });
         int before = log.reads();
         pair.await(() -> log.reads() > before);
 
         pair.onControl(driver::leave);
-        pair.onControl(() -> go.complete(null));
+        pair.onControl(() -> gate.complete(null));
 
-        pair.await(() -> last().release());
+        pair.await(() -> lastRecord().release());
         pair.onControl(() -> assertThat(driver.holds()).isFalse());
     }
 
     @Test
-    void shouldHaveNothingToReleaseWhenAnotherHolds() {
-        holderAppends(true);
-        LeaseDriver driver = driver();
+    void shouldWriteNoReleaseWhenAnotherDaemonHoldsTheLease() {
+        appendAsHolder(true);
+        LeaseDriver driver = startDriver();
         pair.await(() -> log.reads() > 0);
 
         pair.onControl(() -> assertThat(driver.leave().isDone()).isTrue());
@@ -105,7 +105,7 @@
         assertThat(log.records()).hasSize(1);
     }
 
-    private void holderAppends(boolean claim) {
+    private void appendAsHolder(boolean claim) {
         log.records()
                 .add(
                         DutyRecords.encode(
@@ -118,43 +118,43 @@
                                         pair.holder().contact())));
     }
 
-    private void renew() {
-        holderAppends(false);
+    private void renewAsHolder() {
+        appendAsHolder(false);
         pair.holder().publish(PART, log.batch(log.records().size() - 1L));
     }
 
-    private void follow() {
+    private void startFollower() {
         pair.onControl(() -> pair.holder().holder(true, Optional.empty()));
-        pair.onControl(() -> holderAppends(true));
-        driver();
+        pair.onControl(() -> appendAsHolder(true));
+        startDriver();
         pair.await(
                 () -> {
-                    renew();
+                    renewAsHolder();
                     return pair.follower().connected();
                 });
     }
 
     @Test
-    void shouldReadNothingWhileTheHolderPassesItsRecordsOn() {
-        follow();
+    void shouldNotReadTheLogWhileTheHolderRelaysItsRecords() {
+        startFollower();
         int before = log.reads();
         int renewals = log.records().size() + 100;
 
-        // About two seconds, in which the log was read three times before.
+        // About two seconds, in which a daemon without relayed records reads the log three times.
         pair.await(
                 () -> {
-                    renew();
+                    renewAsHolder();
                     return log.records().size() > renewals;
                 });
 
         assertThat(log.reads()).isAtMost(before + 1);
     }
 
-    // The holder's process is killed, which its connections show. The others have to know its last
-    // record before they can wait for it to lapse.
+    // The holder is killed and its connections close. The others have to read its last record
+    // before they can wait until the lease expires.
     @Test
-    void shouldReadTheLogAtOnceWhenTheHolderIsLost() {
-        follow();
+    void shouldReadTheLogAtOnceWhenTheConnectionToTheHolderCloses() {
+        startFollower();
         int before = log.reads();
 
         pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
@@ -163,9 +163,9 @@
     }
 
     @Test
-    void shouldClaimWhenTheHolderFallsSilent() {
-        follow();
+    void shouldClaimWhenTheHolderStopsRenewing() {
+        startFollower();
 
-        pair.await(() -> last().holder().equals("self") && last().claim());
+        pair.await(() -> lastRecord().holder().equals("self") && lastRecord().claim());
     }
 }
