--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
@@ -95,7 +95,7 @@
                 new DemandExchange(
                         process, topics, part, control, lease, relay, demandTracker, demandCounts);
         topics.era().onRestored(() -> control.post(exchange::handleLogRestored));
-        control.post(() -> relay.onTold(part, exchange::handleReport));
+        control.post(() -> relay.onFollowerRecord(part, exchange::handleReport));
         control.every(TICK_MILLIS, exchange::tick);
         return exchange;
     }
@@ -158,7 +158,7 @@
     // averages recover within seconds.
     private void sendReport(DemandTracker.DemandCounts counts) {
         byte[] record = DutyRecords.encode(new DutyRecords.DemandRecord(process, counts));
-        if (!relay.tell(part, record)) {
+        if (!relay.sendToHolder(part, record)) {
             append(record);
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
@@ -171,7 +171,7 @@
     private void tick() {
         detectFreeze();
         logHeldChange();
-        relay.holder(lease.holds(ControlThread.nowMillis()), lease.otherHolderContact());
+        relay.updateHolder(lease.holds(ControlThread.nowMillis()), lease.otherHolderContact());
         if (callPending) {
             return;
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
@@ -99,7 +99,7 @@
     }
 
     private void listen() {
-        relay.onTold(part, this::told);
+        relay.onFollowerRecord(part, this::told);
         relay.onRecords(part, new FromHolder());
         relay.onFollower(() -> newcomer = true);
     }
@@ -127,7 +127,7 @@
         if (!relay.holding()) {
             heardAtMillis.clear();
             published = Set.of();
-            relay.tell(part, PeerRecord.encode(Set.of(self)));
+            relay.sendToHolder(part, PeerRecord.encode(Set.of(self)));
             return;
         }
         long nowMillis = ControlThread.nowMillis();
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/Followers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/Followers.java
@@ -15,8 +15,8 @@
 import org.tamaracktrack.link.topic.TopicPart;
 
 /**
- * The daemons that hear of this one what it reads of the store, and what is under way to them. On
- * the control thread, but where it says otherwise.
+ * The daemons to which this daemon relays records, and the bytes in transit to them. Used on the
+ * control thread only, except where stated otherwise.
  */
 final class Followers {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.relay");
@@ -24,7 +24,7 @@
     private final RelayLimits limits;
     private final StoreEra era;
     private final Map<Connection, Follower> byConnection = new HashMap<>();
-    private final AtomicLong notPassedOn = new AtomicLong();
+    private final AtomicLong noticeCount = new AtomicLong();
     private RelayBudget budget;
 
     private Followers(RelayLimits limits, StoreEra era) {
@@ -37,13 +37,20 @@
         return new Followers(limits, era);
     }
 
-    /** How many batches were told of without their records; for any thread. */
-    long notPassedOn() {
-        return notPassedOn.get();
+    /**
+     * Returns how many notices were sent instead of batches, counted per follower. May be called by
+     * any thread.
+     */
+    long noticeCount() {
+        return noticeCount.get();
     }
 
-    /** Notes what a daemon's clock shows; true when nothing was heard of that daemon before. */
-    boolean read(Connection from, Message.ClockReading reading) {
+    /**
+     * Records the clock reading of a daemon, and makes it a follower.
+     *
+     * @return true if it was not a follower before
+     */
+    boolean recordClockReading(Connection from, Message.ClockReading reading) {
         Follower follower = new Follower(from, reading.millis(), ControlThread.nowMillis());
         return byConnection.put(from, follower) == null;
     }
@@ -57,21 +64,21 @@
         byConnection.clear();
     }
 
-    /** Sends a batch whatever its size. */
+    /** Sends a batch of any size to all followers. */
     void send(TopicPart part, RecordBatch batch, long wholeAtMillis) {
         Outgoing outgoing = new Outgoing(part, batch, wholeAtMillis);
         List.copyOf(byConnection.values()).forEach(follower -> send(follower, outgoing));
     }
 
     /**
-     * Sends a batch that can be read of the store as well. A follower for which there is no room
-     * hears only that there is something to read.
+     * Sends a batch that can be read from the store as well. A follower for which there is no
+     * capacity receives a notice without the records instead.
      */
     void sendIfRoom(TopicPart part, RecordBatch batch, long wholeAtMillis) {
-        Outgoing whole = new Outgoing(part, batch, wholeAtMillis);
-        budget = budget.at(ControlThread.nowMillis());
-        boolean fits = budget.fits(whole.bytes(), byConnection.size());
-        long mostWaiting = limits.bytesWaiting(byConnection.size()) - whole.bytes();
+        Outgoing outgoing = new Outgoing(part, batch, wholeAtMillis);
+        budget = budget.advanceTo(ControlThread.nowMillis());
+        boolean fits = budget.fits(outgoing.bytes(), byConnection.size());
+        long maximumQueuedBytes = limits.maximumQueuedBytes(byConnection.size()) - outgoing.bytes();
         Map<Boolean, List<Follower>> byRoom =
                 byConnection.values().stream()
                         .collect(
@@ -79,42 +86,42 @@
                                         follower ->
                                                 batch.records().isEmpty()
                                                         || fits
-                                                                && follower.waiting()
-                                                                        <= mostWaiting));
-        byRoom.get(true).forEach(follower -> send(follower, whole));
-        byRoom.get(false).forEach(follower -> send(follower, whole.notice()));
-        noteNotPassedOn(whole, byRoom.get(false).size());
+                                                                && follower.queuedBytes()
+                                                                        <= maximumQueuedBytes));
+        byRoom.get(true).forEach(follower -> send(follower, outgoing));
+        byRoom.get(false).forEach(follower -> send(follower, outgoing.notice()));
+        recordNotices(outgoing, byRoom.get(false).size());
     }
 
-    private void noteNotPassedOn(Outgoing whole, int without) {
-        if (without > 0) {
-            notPassedOn.addAndGet(without);
+    private void recordNotices(Outgoing outgoing, int noticeReceivers) {
+        if (noticeReceivers > 0) {
+            noticeCount.addAndGet(noticeReceivers);
             LOG.info(
                     "event=records-not-passed-on part="
-                            + whole.part()
+                            + outgoing.part()
                             + " bytes="
-                            + whole.bytes()
+                            + outgoing.bytes()
                             + " followers="
-                            + without);
+                            + noticeReceivers);
         }
     }
 
     private void send(Follower follower, Outgoing outgoing) {
         if (follower.connection().send(follower.message(outgoing, era.newest()))) {
-            budget = budget.at(ControlThread.nowMillis()).with(outgoing.bytes());
+            budget = budget.advanceTo(ControlThread.nowMillis()).with(outgoing.bytes());
         } else {
-            // One that takes nothing any more is closed; it reads the store instead.
+            // A follower without a connection reads the store instead.
             byConnection.remove(follower.connection());
             follower.connection().close();
         }
     }
 
-    /** A batch on its way to every follower. */
+    /** A batch to send to followers. */
     private record Outgoing(TopicPart part, RecordBatch batch, long wholeAtMillis) {
-        /** All but the records, with what the network adds, in bytes. */
+        /** The size of a message without its records, including network headers, in bytes. */
         private static final long FRAME_BYTES = 200;
 
-        /** What a record's length takes, in bytes. */
+        /** The size of the length field of a record, in bytes. */
         private static final long RECORD_HEADER_BYTES = 5;
 
         private long bytes() {
@@ -124,7 +131,10 @@
                             .sum();
         }
 
-        /** Says up to where there are records, and nothing of when they are whole. */
+        /**
+         * Returns a notice, which contains the end of the records but neither the records nor the
+         * time up to which they are complete.
+         */
         private Outgoing notice() {
             return new Outgoing(
                     part,
@@ -134,14 +144,19 @@
     }
 
     /**
-     * Another daemon, and what its clock showed when it was last heard of.
+     * A daemon that receives records, with its last clock reading.
+     *
+     * <p>Transmission may take long, and a holder that was frozen relays batches that it read long
+     * ago, so the arrival of a batch says nothing about its age. The time of each batch is
+     * therefore sent in terms of the receiver's clock: transmission delays in either direction only
+     * make the batch appear older.
      *
-     * <p>A batch may be long on its way, and a holder that was frozen passes on what it read long
-     * ago. Counted from its arrival, the age of a batch would be unknown to who relies on it; the
-     * time by the receiver's own clock makes delays on either way only count as age.
+     * @param connection the connection to the daemon
+     * @param clockMillis the steady clock of the daemon when it sent the reading, in milliseconds
+     * @param receivedAtMillis the steady clock of this process when it received the reading
      */
-    private record Follower(Connection connection, long clockMillis, long heardAtMillis) {
-        private long waiting() {
+    private record Follower(Connection connection, long clockMillis, long receivedAtMillis) {
+        private long queuedBytes() {
             return connection.queuedBytes();
         }
 
@@ -153,7 +168,7 @@
                     batch.from(),
                     batch.records(),
                     batch.end(),
-                    clockMillis + outgoing.wholeAtMillis() - heardAtMillis,
+                    clockMillis + outgoing.wholeAtMillis() - receivedAtMillis,
                     era);
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
@@ -29,42 +29,45 @@
 import org.xnio.XnioWorker;
 
 /**
- * Passes what the holder of a lease reads of the store on to the other daemons, and what they have
- * to tell to the holder. The store then answers the calls of one daemon instead of those of all.
+ * Relays records that the holder of a lease reads from the store to the other daemons, and records
+ * of theirs to the holder. The store thereby serves the calls of one daemon instead of all.
  *
- * <p>Nothing rests on it: records carry their offsets, so that a reader sees a gap and reads the
- * store itself, as it does when it hears nothing for {@link #STALE_MILLIS}. Used on the control
- * thread, but where it says otherwise.
+ * <p>Correctness does not depend on the relay: records carry their offsets, so that a reader
+ * detects a gap and reads the store itself. It also does so when it has received nothing for {@link
+ * #STALE_MILLIS}. Used on the control thread only, except where stated otherwise.
  */
 public final class RecordRelay implements AutoCloseable {
     /**
-     * Who knows nothing younger than this of the holder reads the store itself, in milliseconds.
-     * The holder's reads end at least every 0.9 s; a configuration has to be in force two seconds
-     * after it was published, also when the holder is frozen.
+     * The staleness bound in milliseconds: a daemon whose last message from the holder is older
+     * reads the store itself. The reads of the holder end at least every 0.9 s, and a configuration
+     * has to be in force two seconds after it was published, also when the holder is frozen.
      */
     public static final long STALE_MILLIS = 1_200;
 
     private static final Logger LOG = Logger.getLogger("tamaracktrack.relay");
 
-    /** The pause before the holder is called again, in milliseconds. */
+    /** The minimum time between two attempts to connect to the holder, in milliseconds. */
     private static final long RETRY_MILLIS = 700;
 
     /**
-     * A record is some hundred bytes, and a daemon that takes nothing for a while is better served
-     * by the store.
+     * The initial buffer suits records of a few hundred bytes. A connection with a longer send
+     * queue is closed, since a daemon that stops receiving does better to read the store.
      */
     private static final XnioFrameTransport.Format FORMAT =
             new XnioFrameTransport.Format(
-                    new RecordsCodec(), 4 * 1024, RelayLimits.CONNECTION_BYTES);
+                    new RecordsCodec(), 4 * 1024, RelayLimits.MAXIMUM_CONNECTION_BYTES);
 
-    /** How often a daemon tells the holder what its clock shows, in milliseconds. */
-    private static final long READING_EVERY_MILLIS = 1_000;
+    /** How often a daemon sends its clock reading to the holder, in milliseconds. */
+    private static final long CLOCK_READING_INTERVAL_MILLIS = 1_000;
 
-    /** A time that lies this much ahead shows that this process stood still, in milliseconds. */
-    private static final long AHEAD_MILLIS = 50;
+    /**
+     * A batch whose time is further ahead of the clock than this, in milliseconds, shows that the
+     * clock of this process has stood still.
+     */
+    private static final long CLOCK_TOLERANCE_MILLIS = 50;
 
     private static final int SECRET_BITS = 128;
-    private static final int HEXADECIMAL = 16;
+    private static final int HEXADECIMAL_RADIX = 16;
 
     private final XnioWorker worker;
     private final ControlThread control;
@@ -78,21 +81,24 @@
     private volatile Optional<Link> link = Optional.empty();
     private Optional<FrameTransport> transport = Optional.empty();
     private Optional<Contact> contact = Optional.empty();
-    private Optional<Contact> refusedBy = Optional.empty();
+    private Optional<Contact> refusingHolder = Optional.empty();
     private long nextConnectMillis;
 
-    /** Hears of what the holder read, on the control thread. */
+    /** Receives the records that the holder reads, on the control thread. */
     public interface Reader {
         /**
-         * The holder read records.
+         * Called when records of the holder have arrived.
          *
          * @param batch the records; none when there was nothing new
-         * @param wholeAtMillis the time, by the steady clock of this process, before which nothing
-         *     was written beyond the records
+         * @param wholeAtMillis the time up to which the records are complete: before it, no record
+         *     was written beyond them; by the steady clock of this process, in milliseconds
          */
         void onBatch(RecordBatch batch, long wholeAtMillis);
 
-        /** The connection to the holder is lost: what comes next has to be read of the store. */
+        /**
+         * Called when the connection to the holder is lost: subsequent records have to be read from
+         * the store.
+         */
         void onLost();
     }
 
@@ -110,13 +116,13 @@
     }
 
     /**
-     * Starts a relay.
+     * Returns a relay that neither listens nor is connected.
      *
      * @param worker the threads of its connections
-     * @param control the thread that it belongs to
-     * @param address where other daemons reach this one; empty when they can't
-     * @param era the era of the store, which other daemons may hear of first
-     * @param limits how much it may have under way to other daemons
+     * @param control the thread that runs the relay
+     * @param address the address at which other daemons reach this one; empty when they can't
+     * @param era the era of the store, updated when another daemon reports a newer one
+     * @param limits the limits of the bytes in transit to other daemons
      * @return the relay
      */
     public static RecordRelay of(
@@ -136,17 +142,18 @@
     /**
      * Returns the address at which other daemons reach this one and its predecessors on this host.
      *
-     * @return the address; empty when they can't, or any free port is used
+     * @return the address; empty when there is none, or it has no fixed port
      */
     public Optional<String> address() {
         return address.filter(fixed -> fixed.getPort() != 0).map(IpAddresses::format);
     }
 
     /**
-     * Returns where other daemons reach this one, and listens there from the first call on. Most
-     * daemons never hold the lease, and a start has no processor time to spare.
+     * Returns the contact at which other daemons reach this one, and listens there from the first
+     * call on. The relay does not listen earlier because most daemons never hold the lease, and
+     * processor time is scarce when a daemon starts.
      *
-     * @return what the lease's records say of it; empty when the address can't be used
+     * @return the contact for the records of the lease; empty when the address can't be used
      */
     public Optional<Contact> contact() {
         if (contact.isEmpty() && address.isPresent()) {
@@ -156,60 +163,60 @@
     }
 
     private Optional<Contact> listen(InetSocketAddress wanted) {
-        String secret = new BigInteger(SECRET_BITS, new SecureRandom()).toString(HEXADECIMAL);
+        String secret = new BigInteger(SECRET_BITS, new SecureRandom()).toString(HEXADECIMAL_RADIX);
         FrameTransport listening = XnioFrameTransport.sharing(secret, worker, FORMAT);
         try {
             InetSocketAddress used = listening.listen(wanted, new FollowerHandler());
             transport = Optional.of(listening);
             return Optional.of(new Contact(IpAddresses.format(used), secret));
         } catch (TamaracktrackException unusable) {
-            // Without it every daemon reads the store itself; the next record tries again.
+            // Until then the other daemons read the store; the next lease record tries again.
             LOG.error("event=relay-not-listening problem=\"" + unusable.getMessage() + '"');
             return Optional.empty();
         }
     }
 
     /**
-     * Names who hears of the records of a partition.
+     * Sets the reader of the relayed records of a partition.
      *
      * @param part the partition
-     * @param reader hears of them
+     * @param reader receives the records
      */
     public void onRecords(TopicPart part, Reader reader) {
         readers.put(part, reader);
     }
 
     /**
-     * Names who takes what other daemons tell the holder.
+     * Sets the receiver of the records that other daemons send to this one as the holder.
      *
-     * @param part the partition that they would append it to
-     * @param receiver takes each record
+     * @param part the partition to which they would otherwise append the records
+     * @param receiver receives each record, on the control thread
      */
-    public void onTold(TopicPart part, Consumer<byte[]> receiver) {
+    public void onFollowerRecord(TopicPart part, Consumer<byte[]> receiver) {
         receivers.put(part, receiver);
     }
 
     /**
-     * Names who hears that another daemon has come, which knows nothing yet.
+     * Adds a listener for new followers, which have not received any records yet.
      *
-     * @param listener hears of it
+     * @param listener called on the control thread when another daemon becomes a follower
      */
     public void onFollower(Runnable listener) {
         followerListeners.add(listener);
     }
 
     /**
-     * Says whether this daemon holds the lease, and who else does.
+     * Updates the holder of the lease, and connects to it if it is another daemon.
      *
-     * @param self whether it holds
-     * @param other where another holder is reached
+     * @param holdsLease whether it holds
+     * @param otherHolder where another holder is reached
      */
-    public void holder(boolean self, Optional<Contact> other) {
-        if (holding && !self) {
+    public void updateHolder(boolean holdsLease, Optional<Contact> otherHolder) {
+        if (holding && !holdsLease) {
             followers.close();
         }
-        holding = self;
-        Optional<Contact> wanted = self ? Optional.empty() : other;
+        holding = holdsLease;
+        Optional<Contact> wanted = holdsLease ? Optional.empty() : otherHolder;
         if (link.isPresent() && !wanted.equals(link.map(Link::contact))) {
             link.get().end();
             link = Optional.empty();
@@ -217,19 +224,19 @@
             readers.values().forEach(Reader::onLost);
         }
         if (link.isEmpty() && ControlThread.nowMillis() >= nextConnectMillis) {
-            // A holder that did not prove the secret is another process at the same address, as
-            // after a restart of all; asked again and again, it and this one lose the processor
-            // time that their callers need.
-            wanted.filter(holder -> !refusedBy.equals(Optional.of(holder)))
+            // A holder that did not prove the secret is another process at the same address, for
+            // example after all daemons were restarted. Repeated attempts would cost both processes
+            // processor time that their callers need.
+            wanted.filter(holder -> !refusingHolder.equals(Optional.of(holder)))
                     .ifPresent(this::connect);
         }
     }
 
     /**
-     * Returns whether this daemon holds the lease, so that others rely on what it reads. May be
-     * asked by any thread.
+     * Returns whether this daemon holds the lease, and others therefore rely on its reads. May be
+     * called by any thread.
      *
-     * @return true when it does
+     * @return true if it holds the lease
      */
     public boolean holding() {
         return holding;
@@ -243,14 +250,14 @@
             link = Optional.of(opening);
             XnioFrameTransport.sharing(holder.secret(), worker, FORMAT).connect(wanted, opening);
         } catch (TamaracktrackException unreadable) {
-            // Without a connection every read is of the store.
+            // Without a connection this daemon reads the store.
             LOG.warn("event=relay-contact-unreadable address=" + holder.address());
         }
     }
 
     /**
-     * Passes on what holds now, if this daemon holds the lease. It goes out whole whatever its
-     * size, since most of it stands nowhere else.
+     * Relays current state if this daemon holds the lease. It is sent in full regardless of its
+     * size, since most of it is not stored anywhere.
      *
      * @param part the partition
      * @param batch the records
@@ -262,12 +269,13 @@
     }
 
     /**
-     * Passes on what was read of the store, if this daemon holds the lease. Where the link has no
-     * room for the records, the other daemons hear only that there is something to read.
+     * Relays records that were read from the store if this daemon holds the lease. Where the link
+     * has no capacity for the records, the other daemons receive a notice without them.
      *
      * @param part the partition
      * @param batch the records; none when a read found nothing new
-     * @param wholeAtMillis the time before which nothing was written beyond the records
+     * @param wholeAtMillis the time up to which the records are complete: before it, no record was
+     *     written beyond them; by the steady clock of this process, in milliseconds
      */
     public void publish(TopicPart part, RecordBatch batch, long wholeAtMillis) {
         if (holding) {
@@ -276,33 +284,32 @@
     }
 
     /**
-     * Returns how many batches other daemons were told of without their records. May be asked by
-     * any thread.
+     * Returns how many notices were sent instead of batches. May be called by any thread.
      *
-     * @return the number, counted for each daemon
+     * @return the number, counted per receiving daemon
      */
-    public long notPassedOn() {
-        return followers.notPassedOn();
+    public long noticeCount() {
+        return followers.noticeCount();
     }
 
     /**
-     * Returns whether this daemon hears of the holder. May be asked by any thread.
+     * Returns whether this daemon receives records of the holder. May be called by any thread.
      *
-     * @return true when it heard something of late
+     * @return true if a message arrived within {@link #STALE_MILLIS}
      */
     public boolean connected() {
-        return link.filter(Link::live).isPresent();
+        return link.filter(Link::isLive).isPresent();
     }
 
     /**
-     * Tells the holder something.
+     * Sends a record to the holder.
      *
-     * @param part the partition that it would be appended to
+     * @param part the partition to which it would otherwise be appended
      * @param record its bytes
-     * @return false when the holder can't be reached, so that it has to be appended
+     * @return false if the holder can't be reached, and the record has to be appended instead
      */
-    public boolean tell(TopicPart part, byte[] record) {
-        return link.filter(Link::live)
+    public boolean sendToHolder(TopicPart part, byte[] record) {
+        return link.filter(Link::isLive)
                 .flatMap(Link::connection)
                 .filter(
                         connection ->
@@ -325,13 +332,13 @@
         followers.close();
     }
 
-    /** The connection of this daemon to the holder. Its state is the control thread's. */
+    /** The connection of this daemon to the holder. Its state is confined to the control thread. */
     private final class Link implements ConnectionHandler {
         private final Contact contact;
         private Optional<Connection> connection = Optional.empty();
-        private volatile long heardAtMillis = Long.MIN_VALUE / 2;
-        private DualTimestamp readingAt = DualTimestamp.never();
-        private boolean ended;
+        private volatile long lastReceivedMillis = Long.MIN_VALUE / 2;
+        private DualTimestamp lastClockReading = DualTimestamp.never();
+        private boolean isEnded;
 
         private Link(Contact contact) {
             this.contact = contact;
@@ -345,14 +352,14 @@
             return connection;
         }
 
-        // A holder that is frozen or cut off keeps the connection open and says nothing; what is
-        // told to it then would be lost.
-        private boolean live() {
-            return ControlThread.nowMillis() - heardAtMillis <= STALE_MILLIS;
+        // The connection to a holder that is frozen or partitioned stays open without messages;
+        // records sent to it then would be lost.
+        private boolean isLive() {
+            return ControlThread.nowMillis() - lastReceivedMillis <= STALE_MILLIS;
         }
 
         private void end() {
-            ended = true;
+            isEnded = true;
             connection.ifPresent(Connection::close);
         }
 
@@ -360,12 +367,12 @@
         public void onOpen(Connection opened) {
             control.post(
                     () -> {
-                        if (ended) {
+                        if (isEnded) {
                             opened.close();
                             return;
                         }
                         connection = Optional.of(opened);
-                        tellClock();
+                        sendClockReading();
                         LOG.info("event=relay-opened holder=" + contact.address());
                     });
         }
@@ -373,27 +380,29 @@
         @Override
         public void onMessage(Connection from, Message message) {
             if (message instanceof Message.Records records) {
-                control.post(() -> heard(records));
+                control.post(() -> handleRecords(records));
             }
         }
 
-        private void heard(Message.Records records) {
-            if (ended) {
+        private void handleRecords(Message.Records records) {
+            if (isEnded) {
                 return;
             }
-            heardAtMillis = ControlThread.nowMillis();
-            if (now().clocksDivergedSince(readingAt)) {
-                // What lies in the socket is dated by a clock that has stood still since.
+            lastReceivedMillis = ControlThread.nowMillis();
+            if (now().clocksDivergedSince(lastClockReading)) {
+                // The times of messages in the socket are based on a clock that has stood still.
                 connection.ifPresent(Connection::close);
-                lost("stood_still");
+                handleLoss("stood_still");
                 return;
             }
-            boolean ahead = records.wholeAtMillis() > heardAtMillis + AHEAD_MILLIS;
+            boolean ahead = records.wholeAtMillis() > lastReceivedMillis + CLOCK_TOLERANCE_MILLIS;
             long wholeAtMillis = ahead ? Message.Records.UNKNOWN_MILLIS : records.wholeAtMillis();
-            if (ahead || heardAtMillis - readingAt.steadyMillis() >= READING_EVERY_MILLIS) {
-                tellClock();
+            if (ahead
+                    || lastReceivedMillis - lastClockReading.steadyMillis()
+                            >= CLOCK_READING_INTERVAL_MILLIS) {
+                sendClockReading();
             }
-            // Offsets of another era stand for other records.
+            // Offsets of another era refer to other records.
             if (records.era() > era.newest()) {
                 era.note(records.era());
             }
@@ -405,10 +414,11 @@
                     .ifPresent(reader -> reader.onBatch(batch, wholeAtMillis));
         }
 
-        private void tellClock() {
-            readingAt = now();
+        private void sendClockReading() {
+            lastClockReading = now();
             connection.ifPresent(
-                    opened -> opened.send(new Message.ClockReading(readingAt.steadyMillis())));
+                    opened ->
+                            opened.send(new Message.ClockReading(lastClockReading.steadyMillis())));
         }
 
         private DualTimestamp now() {
@@ -417,7 +427,7 @@
 
         @Override
         public void onClosed(Connection closed) {
-            control.post(() -> lost("closed"));
+            control.post(() -> handleLoss("closed"));
         }
 
         @Override
@@ -425,17 +435,17 @@
             control.post(
                     () -> {
                         if (failure.code() == ErrorCode.PEER_REFUSED) {
-                            refusedBy = Optional.of(contact);
+                            refusingHolder = Optional.of(contact);
                         }
-                        lost(failure.code().toString());
+                        handleLoss(failure.code().toString());
                     });
         }
 
-        private void lost(String cause) {
-            if (ended) {
+        private void handleLoss(String cause) {
+            if (isEnded) {
                 return;
             }
-            ended = true;
+            isEnded = true;
             link = Optional.empty();
             LOG.info("event=relay-lost holder=" + contact.address() + " cause=" + cause);
             readers.values().forEach(Reader::onLost);
@@ -457,24 +467,25 @@
         @Override
         public void onMessage(Connection from, Message message) {
             if (message instanceof Message.Records records) {
-                control.post(() -> told(records));
+                control.post(() -> handleRecords(records));
             } else if (message instanceof Message.ClockReading reading) {
-                control.post(() -> read(from, reading));
+                control.post(() -> handleClockReading(from, reading));
             }
         }
 
-        // The first reading makes a follower: nothing that is passed on before it could be dated.
-        private void read(Connection from, Message.ClockReading reading) {
+        // A daemon becomes a follower with its first reading, since the times of batches can't be
+        // expressed by its clock before.
+        private void handleClockReading(Connection from, Message.ClockReading reading) {
             if (!holding) {
                 from.close();
                 return;
             }
-            if (followers.read(from, reading)) {
+            if (followers.recordClockReading(from, reading)) {
                 followerListeners.forEach(Runnable::run);
             }
         }
 
-        private void told(Message.Records records) {
+        private void handleRecords(Message.Records records) {
             Optional.ofNullable(receivers.get(new TopicPart(records.topic(), records.partition())))
                     .ifPresent(receiver -> records.records().forEach(receiver));
         }
@@ -486,7 +497,7 @@
 
         @Override
         public void onConnectFailed(TamaracktrackException failure) {
-            // Only the side that opens a connection hears of this.
+            // Called only on the side that opens a connection.
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/RelayBudget.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/RelayBudget.java
@@ -1,32 +1,32 @@
 package org.tamaracktrack.daemon.relay;
 
 /**
- * What a relay has under way to all followers together, counted by what the link carries: the
- * buffers of the host's kernel, where most of it waits, can't be asked.
+ * An estimate of the bytes that a relay has in transit to all followers, based on the rate of the
+ * link: most of them wait in kernel buffers of the host, whose level can't be queried.
  *
- * @param limits how much it may be
- * @param underWayBytes how much it is
- * @param atMillis when, by the steady clock
+ * @param limits the limits of the relay
+ * @param inTransitBytes the estimated bytes in transit
+ * @param atMillis the time of the estimate by the steady clock, in milliseconds
  */
-record RelayBudget(RelayLimits limits, double underWayBytes, long atMillis) {
+record RelayBudget(RelayLimits limits, double inTransitBytes, long atMillis) {
 
     static RelayBudget of(RelayLimits limits, long nowMillis) {
         return new RelayBudget(limits, 0, nowMillis);
     }
 
-    /** The budget at a later time, in milliseconds of the steady clock. */
-    RelayBudget at(long nowMillis) {
-        double left = limits.bytesThatLeaveIn(Math.max(0, nowMillis - atMillis));
-        return new RelayBudget(limits, Math.max(0, underWayBytes - left), nowMillis);
+    /** Returns the budget at a later time of the steady clock, in milliseconds. */
+    RelayBudget advanceTo(long nowMillis) {
+        double sentBytes = limits.bytesSentIn(Math.max(0, nowMillis - atMillis));
+        return new RelayBudget(limits, Math.max(0, inTransitBytes - sentBytes), nowMillis);
     }
 
-    /** Whether a batch of this many bytes may be passed on to this many followers. */
+    /** Returns whether a batch of the given size may be sent to the given number of followers. */
     boolean fits(long bytes, int followers) {
-        return underWayBytes + (double) bytes * followers <= limits.bytesUnderWay();
+        return inTransitBytes + (double) bytes * followers <= limits.maximumBytesInTransit();
     }
 
-    /** The budget once this many bytes more were passed on. */
+    /** Returns the budget after the given number of bytes was sent. */
     RelayBudget with(long bytes) {
-        return new RelayBudget(limits, underWayBytes + bytes, atMillis);
+        return new RelayBudget(limits, inTransitBytes + bytes, atMillis);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/RelayLimits.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/RelayLimits.java
@@ -4,54 +4,55 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 
 /**
- * How much a relay may have under way to all other daemons together.
+ * The limits of the bytes that a relay may have in transit to all other daemons.
  *
- * @param linkMegabits what the host's link carries, in Mbit/s
+ * @param linkMegabits the rate of the host's network link, in Mbit/s
  */
 public record RelayLimits(double linkMegabits) {
-    /** What one connection may have waiting of anything, beyond which it is closed, in bytes. */
-    static final long CONNECTION_BYTES = 256L * 1024;
+    /** The size of a connection's send queue beyond which the connection is closed, in bytes. */
+    static final long MAXIMUM_CONNECTION_BYTES = 256L * 1024;
 
     /**
-     * A link that carries records for longer keeps reads of the store, callers' requests and
-     * readiness waiting for as long, in milliseconds.
+     * How long the bytes in transit may occupy the link, in milliseconds. Reads of the store,
+     * requests of callers and readiness checks are delayed for as long.
      */
-    static final long MOST_MILLIS = 200;
+    static final long MAXIMUM_TRANSIT_MILLIS = 200;
 
-    /** A batch of the usual size, in bytes. */
-    private static final long USUAL_BATCH_BYTES = 4 * 1024;
+    /** The size of a typical batch, in bytes. */
+    private static final long TYPICAL_BATCH_BYTES = 4 * 1024;
 
-    private static final double BYTES_PER_MILLI_OF_A_MEGABIT = 125;
+    private static final double BYTES_PER_MILLI_AND_MEGABIT = 125;
 
-    /** Callers need the other part of the link. */
-    private static final double PART_OF_THE_LINK = 0.5;
+    /** The share of the link for relayed records; the rest is left to callers. */
+    private static final double LINK_SHARE = 0.5;
 
     /** Checks the argument. */
     public RelayLimits {
         if (!(linkMegabits > 0) || Double.isInfinite(linkMegabits)) {
             throw TamaracktrackException.of(
-                    ErrorCode.INVALID_SETTINGS, "not a rate of a link: " + linkMegabits);
+                    ErrorCode.INVALID_SETTINGS,
+                    "link rate is not a positive finite number of Mbit/s: " + linkMegabits);
         }
     }
 
-    /** What may be under way to all followers together, in bytes. */
-    long bytesUnderWay() {
-        return (long) (MOST_MILLIS * linkMegabits * BYTES_PER_MILLI_OF_A_MEGABIT);
+    /** Returns the maximum of the bytes in transit to all followers. */
+    long maximumBytesInTransit() {
+        return (long) (MAXIMUM_TRANSIT_MILLIS * linkMegabits * BYTES_PER_MILLI_AND_MEGABIT);
     }
 
-    /** What leaves in a time, in bytes. */
-    double bytesThatLeaveIn(long millis) {
-        return millis * linkMegabits * BYTES_PER_MILLI_OF_A_MEGABIT * PART_OF_THE_LINK;
+    /** Returns the number of bytes that are sent in the given time. */
+    double bytesSentIn(long millis) {
+        return millis * linkMegabits * BYTES_PER_MILLI_AND_MEGABIT * LINK_SHARE;
     }
 
     /**
-     * What may wait for one follower, records included, in bytes: its part of what may be under
-     * way, and at least a usual batch. Less than its connection takes, so that it can be told at
-     * any time that there is more to read.
+     * Returns the maximum of the bytes queued for one follower: its share of the bytes in transit,
+     * and at least a typical batch. Below the limit of its connection, so that a notice can be sent
+     * at any time.
      */
-    long bytesWaiting(int followers) {
+    long maximumQueuedBytes(int followers) {
         return Math.min(
-                CONNECTION_BYTES - USUAL_BATCH_BYTES,
-                Math.max(USUAL_BATCH_BYTES, bytesUnderWay() / Math.max(1, followers)));
+                MAXIMUM_CONNECTION_BYTES - TYPICAL_BATCH_BYTES,
+                Math.max(TYPICAL_BATCH_BYTES, maximumBytesInTransit() / Math.max(1, followers)));
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/package-info.java
@@ -1,2 +1,2 @@
-/** Records that one daemon read of the store, passed on to the others. */
+/** Relays records that one daemon has read from the store to the other daemons. */
 package org.tamaracktrack.daemon.relay;
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DemandExchangeTest.java
@@ -14,7 +14,7 @@
 import org.tamaracktrack.core.fleet.ModelNeed;
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.lease.ConditionalLease;
-import org.tamaracktrack.daemon.relay.MemoryLog;
+import org.tamaracktrack.daemon.relay.InMemoryTopicClient;
 import org.tamaracktrack.daemon.relay.RecordRelay;
 import org.tamaracktrack.daemon.relay.RelayPair;
 import org.tamaracktrack.link.topic.TopicPart;
@@ -44,8 +44,8 @@
     private DemandTracker startDaemon(
             String name,
             RecordRelay relay,
-            MemoryLog leases,
-            MemoryLog demands,
+            InMemoryTopicClient leases,
+            InMemoryTopicClient demands,
             DemandTracker.DemandCounts counts) {
         DemandTracker demandTracker = DemandTracker.empty();
         pair.onControl(
@@ -80,11 +80,11 @@
 
     @Test
     void shouldReportToTheHolderWithoutTheLog() {
-        MemoryLog leases = new MemoryLog();
+        InMemoryTopicClient leases = new InMemoryTopicClient();
         DemandTracker holder =
-                startDaemon("holder", pair.holder(), leases, new MemoryLog(), NO_DEMAND);
+                startDaemon("holder", pair.holder(), leases, new InMemoryTopicClient(), NO_DEMAND);
         pair.await(pair.holder()::holding);
-        startDaemon("other", pair.follower(), leases, new MemoryLog(), ONE_REQUEST);
+        startDaemon("other", pair.follower(), leases, new InMemoryTopicClient(), ONE_REQUEST);
 
         pair.await(() -> hasUrgentDemand(holder));
         pair.onControl(
@@ -96,16 +96,17 @@
     // were ever requested.
     @Test
     void shouldRestoreRequestedModelsAfterTheHolderIsKilled() {
-        MemoryLog leases = new MemoryLog();
-        MemoryLog demands = new MemoryLog();
+        InMemoryTopicClient leases = new InMemoryTopicClient();
+        InMemoryTopicClient demands = new InMemoryTopicClient();
         DemandTracker holder = startDaemon("holder", pair.holder(), leases, demands, NO_DEMAND);
         pair.await(pair.holder()::holding);
-        startDaemon("other", pair.follower(), leases, new MemoryLog(), ONE_REQUEST);
+        startDaemon("other", pair.follower(), leases, new InMemoryTopicClient(), ONE_REQUEST);
         pair.await(() -> hasUrgentDemand(holder));
         pair.await(() -> !demands.records().isEmpty());
 
         DemandTracker next =
-                startDaemon("next", pair.unconnected(), new MemoryLog(), demands, NO_DEMAND);
+                startDaemon(
+                        "next", pair.unconnected(), new InMemoryTopicClient(), demands, NO_DEMAND);
 
         pair.await(() -> hasUrgentDemand(next));
         pair.onControl(() -> assertThat(next.demandUrgency(MODEL)).isEqualTo(DemandUrgency.URGENT));
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/HoldingsExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/HoldingsExchangeTest.java
@@ -81,9 +81,9 @@
     // before it was connected.
     @Test
     void shouldSendEarlierHoldingsToANewFollower() {
-        pair.onControl(() -> pair.holder().holder(true, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(true, Optional.empty()));
         pair.onControl(() -> holderExchange.publish(Map.of(ENGINE, HELD)));
-        pair.hold();
+        pair.grantLease();
 
         pair.await(
                 () -> {
@@ -115,7 +115,7 @@
     void shouldReturnToTheRegistryWhenTheConnectionToTheHolderCloses() {
         shouldSendEarlierHoldingsToANewFollower();
 
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
 
         awaitRegistryState();
     }
@@ -126,7 +126,7 @@
     void shouldDiscardReceivedHoldingsWhenThisDaemonTakesTheLease() {
         shouldSendEarlierHoldingsToANewFollower();
 
-        pair.onControl(() -> pair.follower().holder(true, Optional.empty()));
+        pair.onControl(() -> pair.follower().updateHolder(true, Optional.empty()));
 
         awaitRegistryState();
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/LeaseDriverTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/LeaseDriverTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.lease.ConditionalLease;
 import org.tamaracktrack.core.lease.ConditionalLease.LeaseRecord;
-import org.tamaracktrack.daemon.relay.MemoryLog;
+import org.tamaracktrack.daemon.relay.InMemoryTopicClient;
 import org.tamaracktrack.daemon.relay.RelayPair;
 import org.tamaracktrack.link.topic.TopicPart;
 
@@ -18,7 +18,7 @@
     private static final TopicPart PART = new TopicPart("lease", 0);
     private static final long PAUSE_MILLIS = 3_000;
 
-    private final MemoryLog log = new MemoryLog();
+    private final InMemoryTopicClient log = new InMemoryTopicClient();
     private RelayPair pair;
 
     @BeforeEach
@@ -124,7 +124,7 @@
     }
 
     private void startFollower() {
-        pair.onControl(() -> pair.holder().holder(true, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(true, Optional.empty()));
         pair.onControl(() -> appendAsHolder(true));
         startDriver();
         pair.await(
@@ -157,7 +157,7 @@
         startFollower();
         int before = log.reads();
 
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
 
         pair.await(() -> log.reads() > before);
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/KeyedFollowerTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/KeyedFollowerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.knowledge.DualTimestamp;
 import org.tamaracktrack.core.knowledge.StalenessBound;
-import org.tamaracktrack.daemon.relay.MemoryLog;
+import org.tamaracktrack.daemon.relay.InMemoryTopicClient;
 import org.tamaracktrack.daemon.relay.RecordRelay;
 import org.tamaracktrack.daemon.relay.RelayLimits;
 import org.tamaracktrack.daemon.relay.RelayPair;
@@ -33,7 +33,7 @@
     /** Takes 0.8 s of the link. */
     private static final String LARGE_RECORD = "large\n" + "x".repeat(100_000);
 
-    private final MemoryLog log = new MemoryLog();
+    private final InMemoryTopicClient log = new InMemoryTopicClient();
     private final List<String> heard = new ArrayList<>();
     private final List<String> contact = new ArrayList<>();
     private final List<Long> returnedAtMillis = new ArrayList<>();
@@ -114,11 +114,11 @@
 
     /** The holder is heard of; a read waits from before. */
     private void hearOfTheHolder() {
-        pair.hold();
+        pair.grantLease();
         pair.await(
                 () -> {
                     pair.holder().publish(PART, log.batch(0));
-                    return pair.follower().tell(PART, new byte[0]);
+                    return pair.follower().sendToHolder(PART, new byte[0]);
                 });
     }
 
@@ -221,7 +221,7 @@
     void shouldReadTheLogAtOnceWhenTheHolderIsLost() {
         follow();
         int before = log.reads();
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
 
         pair.await(() -> log.reads() > before);
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/load/PeerDirectoryTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/load/PeerDirectoryTest.java
@@ -54,7 +54,7 @@
     }
 
     private void meet() {
-        pair.hold();
+        pair.grantLease();
         pair.await(
                 () -> {
                     publishAsReadsDo();
@@ -81,7 +81,7 @@
     void shouldKeepItsPeersWhenTheHolderIsLost() {
         meet();
 
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
 
         pair.await(() -> !pair.follower().connected());
         assertThat(ofOther.peers).containsExactly(HOLDER);
@@ -113,7 +113,7 @@
     void shouldHearOfNoListWhenTheHolderIsLost() {
         meet();
 
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
         pair.await(() -> !pair.follower().connected());
         int heard = ofOther.lists;
         pair.onControl(() -> {});
--- a/daemon/src/test/java/org/tamaracktrack/daemon/quarantine/QuarantineExchangeTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/quarantine/QuarantineExchangeTest.java
@@ -16,7 +16,7 @@
 import org.tamaracktrack.core.quarantine.Quarantine;
 import org.tamaracktrack.core.quarantine.RequestFingerprint;
 import org.tamaracktrack.core.quarantine.TargetEnd;
-import org.tamaracktrack.daemon.relay.MemoryLog;
+import org.tamaracktrack.daemon.relay.InMemoryTopicClient;
 import org.tamaracktrack.daemon.relay.RelayPair;
 import org.tamaracktrack.link.topic.KeyedRecord;
 import org.tamaracktrack.link.topic.TopicPart;
@@ -26,7 +26,7 @@
     private static final RequestFingerprint REQUEST =
             RequestFingerprint.of("POST", "host", "/", new byte[0]);
 
-    private final MemoryLog log = new MemoryLog();
+    private final InMemoryTopicClient log = new InMemoryTopicClient();
     private RelayPair pair;
     private QuarantineExchange exchange;
     private volatile Quarantine told = Quarantine.empty();
@@ -73,7 +73,11 @@
         Quarantine[] other = {Quarantine.empty()};
         QuarantineExchange another =
                 QuarantineExchange.start(
-                        new MemoryLog(), PART, pair.control(), () -> false, now -> other[0] = now);
+                        new InMemoryTopicClient(),
+                        PART,
+                        pair.control(),
+                        () -> false,
+                        now -> other[0] = now);
 
         pair.onControl(() -> another.onListing(written()));
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/FollowersTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/FollowersTest.java
@@ -22,30 +22,30 @@
     private final Followers followers =
             Followers.of(new RelayLimits(SMALL_LINK_MEGABITS), StoreEra.unknown());
 
-    /** Keeps what is sent. */
-    private static final class Keeping implements Connection {
+    /** Records the messages that are sent. */
+    private static final class RecordingConnection implements Connection {
         private final List<Message.Records> sent = new ArrayList<>();
-        private long waiting;
-        private boolean takes = true;
+        private long queuedBytes;
+        private boolean accepting = true;
 
         @Override
         public boolean send(Message message) {
-            return takes && sent.add((Message.Records) message);
+            return accepting && sent.add((Message.Records) message);
         }
 
         @Override
         public long queuedBytes() {
-            return waiting;
+            return queuedBytes;
         }
 
         @Override
         public void close() {
-            takes = false;
+            accepting = false;
         }
 
         @Override
         public boolean isOpen() {
-            return takes;
+            return accepting;
         }
 
         @Override
@@ -61,17 +61,18 @@
         }
     }
 
-    private Keeping follower() {
-        Keeping connection = new Keeping();
-        followers.read(connection, new Message.ClockReading(ControlThread.nowMillis()));
+    private RecordingConnection follower() {
+        RecordingConnection connection = new RecordingConnection();
+        followers.recordClockReading(
+                connection, new Message.ClockReading(ControlThread.nowMillis()));
         return connection;
     }
 
-    private List<Keeping> followers(int count) {
+    private List<RecordingConnection> followers(int count) {
         return IntStream.range(0, count).mapToObj(any -> follower()).collect(Collectors.toList());
     }
 
-    private void passOn(long from, int bytes) {
+    private void sendBatch(long from, int bytes) {
         followers.sendIfRoom(
                 PART,
                 new RecordBatch(from, List.of(new byte[bytes]), from + 1),
@@ -79,56 +80,56 @@
     }
 
     @Test
-    void shouldPassOnABatchOfTheUsualSizeToAll() {
-        List<Keeping> all = followers(21);
+    void shouldSendABatchOfTypicalSizeToAllFollowers() {
+        List<RecordingConnection> all = followers(21);
 
-        passOn(0, 2 * 1024);
+        sendBatch(0, 2 * 1024);
 
         all.forEach(follower -> assertThat(follower.recordBytes()).isEqualTo(2 * 1024));
     }
 
-    // Guards against a burst of batches that each fit.
+    // Guards against a burst of batches that each fit, but exceed the limit together.
     @Test
-    void shouldBoundWhatIsUnderWayToAllTogether() {
-        List<Keeping> all = followers(320);
+    void shouldLimitTheTotalBytesInTransit() {
+        List<RecordingConnection> all = followers(320);
         long beganMillis = ControlThread.nowMillis();
 
         for (int batch = 0; batch < 50; batch++) {
-            passOn(batch, 500);
+            sendBatch(batch, 500);
         }
 
         long tookMillis = ControlThread.nowMillis() - beganMillis;
-        long passedOnBytes = all.stream().mapToLong(Keeping::recordBytes).sum();
+        long passedOnBytes = all.stream().mapToLong(RecordingConnection::recordBytes).sum();
         assertThat(passedOnBytes).isGreaterThan(0);
         assertThat(passedOnBytes)
                 .isAtMost(BYTES_IN_200_MILLIS + tookMillis * BYTES_IN_200_MILLIS / 400);
         all.forEach(follower -> assertThat(follower.sent).hasSize(50));
     }
 
-    // Guards against one daemon that is frozen taking the others' part.
+    // Guards against a frozen daemon that uses up the capacity for the others.
     @Test
-    void shouldKeepRecordsBackOnlyFromTheOneThatTakesNothing() {
-        Keeping stuck = follower();
-        Keeping other = follower();
-        stuck.waiting = BYTES_IN_200_MILLIS / 2;
+    void shouldSendANoticeOnlyToAFollowerThatDoesNotReceive() {
+        RecordingConnection stuck = follower();
+        RecordingConnection other = follower();
+        stuck.queuedBytes = BYTES_IN_200_MILLIS / 2;
 
-        passOn(7, 1024);
+        sendBatch(7, 1024);
 
         assertThat(stuck.sent.get(0).records()).isEmpty();
         assertThat(stuck.sent.get(0).from()).isEqualTo(8);
-        assertThat(stuck.takes).isTrue();
+        assertThat(stuck.accepting).isTrue();
         assertThat(other.recordBytes()).isEqualTo(1024);
-        assertThat(followers.notPassedOn()).isEqualTo(1);
+        assertThat(followers.noticeCount()).isEqualTo(1);
     }
 
-    // Guards against a daemon that loses its connection by every batch that is larger than what the
-    // connection takes.
+    // Guards against a daemon whose connection is closed by each batch that exceeds the connection
+    // limit.
     @Test
-    void shouldKeepRecordsBackWhenTheyAreMoreThanAConnectionTakes() {
+    void shouldSendANoticeWhenABatchExceedsTheConnectionLimit() {
         Followers ofLargeHost = Followers.of(new RelayLimits(2_000), StoreEra.unknown());
-        Keeping follower = new Keeping();
-        ofLargeHost.read(follower, new Message.ClockReading(0));
-        int bytes = (int) RelayLimits.CONNECTION_BYTES;
+        RecordingConnection follower = new RecordingConnection();
+        ofLargeHost.recordClockReading(follower, new Message.ClockReading(0));
+        int bytes = (int) RelayLimits.MAXIMUM_CONNECTION_BYTES;
 
         ofLargeHost.sendIfRoom(PART, new RecordBatch(0, List.of(new byte[bytes]), 1), 0);
 
@@ -137,25 +138,25 @@
     }
 
     @Test
-    void shouldSayThatThereIsNothingNewWhenThereIsNoRoom() {
-        Keeping stuck = follower();
-        stuck.waiting = BYTES_IN_200_MILLIS;
+    void shouldSendAnEmptyBatchWhenTheQueueIsFull() {
+        RecordingConnection stuck = follower();
+        stuck.queuedBytes = BYTES_IN_200_MILLIS;
         long nowMillis = ControlThread.nowMillis();
 
         followers.sendIfRoom(PART, new RecordBatch(7, List.of(), 7), nowMillis);
 
         assertThat(stuck.sent.get(0).wholeAtMillis()).isGreaterThan(0);
-        assertThat(followers.notPassedOn()).isEqualTo(0);
+        assertThat(followers.noticeCount()).isEqualTo(0);
     }
 
     @Test
-    void shouldCloseWhoTakesNotEvenANotice() {
-        Keeping closed = follower();
-        closed.takes = false;
-        passOn(0, 1024);
-        closed.takes = true;
+    void shouldCloseAConnectionThatRejectsANotice() {
+        RecordingConnection closed = follower();
+        closed.accepting = false;
+        sendBatch(0, 1024);
+        closed.accepting = true;
 
-        passOn(1, 1024);
+        sendBatch(1, 1024);
 
         assertThat(closed.sent).isEmpty();
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/MemoryLog.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/InMemoryTopicClient.java
@@ -14,18 +14,18 @@
 import org.tamaracktrack.link.topic.TopicClient;
 import org.tamaracktrack.link.topic.TopicPart;
 
-/** A partition in memory, used on one thread, whose answers can be held back or lost. */
-public final class MemoryLog implements TopicClient {
+/** An in-memory partition for use on one thread, whose answers can be delayed or lost. */
+public final class InMemoryTopicClient implements TopicClient {
     private final StoreEra era = StoreEra.unknown();
     private final List<byte[]> records = new ArrayList<>();
-    private final List<Waiting> waiting = new ArrayList<>();
-    private CompletableFuture<Void> appends = CompletableFuture.completedFuture(null);
-    private CompletableFuture<Void> readsGo = CompletableFuture.completedFuture(null);
+    private final List<PendingRead> pendingReads = new ArrayList<>();
+    private CompletableFuture<Void> appendGate = CompletableFuture.completedFuture(null);
+    private CompletableFuture<Void> readGate = CompletableFuture.completedFuture(null);
     private boolean losesNextAnswer;
     private boolean failsAtOnce;
     private final List<Long> waits = new ArrayList<>();
 
-    private record Waiting(long from, CompletableFuture<TopicAnswer<RecordBatch>> answer) {}
+    private record PendingRead(long from, CompletableFuture<TopicAnswer<RecordBatch>> answer) {}
 
     public List<byte[]> records() {
         return records;
@@ -35,36 +35,36 @@
         return waits.size();
     }
 
-    /** How long each read was to wait, in the order in which they were asked. */
+    /** Returns the maximum wait of each read in milliseconds, in the order of the calls. */
     public List<Long> waits() {
         return waits;
     }
 
     public boolean hasWaitingRead() {
-        return !waiting.isEmpty();
+        return !pendingReads.isEmpty();
     }
 
-    /** Adds a record without a word to the reads that wait. */
+    /** Adds a record without completing the pending reads. */
     public void add(String text) {
         records.add(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Appends are answered only once the future is complete. */
-    public void holdAppends(CompletableFuture<Void> go) {
-        appends = go;
+    /** Delays the answers to appends until the future is complete. */
+    public void holdAppends(CompletableFuture<Void> gate) {
+        appendGate = gate;
     }
 
-    /** Reads are answered only once the future is complete. */
-    public void holdReads(CompletableFuture<Void> go) {
-        readsGo = go;
+    /** Delays the answers to reads until the future is complete. */
+    public void holdReads(CompletableFuture<Void> gate) {
+        readGate = gate;
     }
 
-    /** The next append is written, and nobody hears of it. */
+    /** Makes the next append take effect without an answer. */
     public void loseNextAnswer() {
         losesNextAnswer = true;
     }
 
-    /** Reads that don't wait are given up before they are answered. */
+    /** Makes reads without a wait time out. */
     public void failAtOnce() {
         failsAtOnce = true;
     }
@@ -73,24 +73,24 @@
         return new RecordBatch(from, records.subList((int) from, records.size()), records.size());
     }
 
-    /** The time of the reads that wait is over. */
+    /** Completes the pending reads with the records that exist, if any. */
     public void endWaits() {
-        List<Waiting> over = List.copyOf(waiting);
-        waiting.clear();
+        List<PendingRead> over = List.copyOf(pendingReads);
+        pendingReads.clear();
         over.forEach(read -> read.answer().complete(done(read.from())));
     }
 
-    /** The reads that wait find the log away. */
+    /** Makes the pending reads time out. */
     public void failWaits() {
-        List<Waiting> lost = List.copyOf(waiting);
-        waiting.clear();
+        List<PendingRead> lost = List.copyOf(pendingReads);
+        pendingReads.clear();
         lost.forEach(read -> read.answer().complete(new TopicAnswer.Unknown<>("timed out")));
     }
 
-    /** The reads that wait are told that the log is away. */
+    /** Answers the pending reads that the log is unavailable. */
     public void refuseWaits() {
-        List<Waiting> refused = List.copyOf(waiting);
-        waiting.clear();
+        List<PendingRead> refused = List.copyOf(pendingReads);
+        pendingReads.clear();
         refused.forEach(
                 read -> read.answer().complete(new TopicAnswer.Unavailable<>("away", true)));
     }
@@ -115,17 +115,17 @@
             TopicPart part, long from, long waitMillis) {
         waits.add(waitMillis);
         if (waitMillis == 0 && failsAtOnce) {
-            return readsGo.thenApply(go -> new TopicAnswer.Unknown<>("timed out"));
+            return readGate.thenApply(gate -> new TopicAnswer.Unknown<>("timed out"));
         }
         if (waitMillis == 0 || from < records.size()) {
-            return readsGo.thenApply(go -> done(from));
+            return readGate.thenApply(gate -> done(from));
         }
-        Waiting read = new Waiting(from, new CompletableFuture<>());
-        waiting.add(read);
+        PendingRead read = new PendingRead(from, new CompletableFuture<>());
+        pendingReads.add(read);
         return read.answer();
     }
 
-    /** A record's text is its key, with its value after a line break if it has one. */
+    /** Decodes a record whose text is its key, followed by a line break and its value if any. */
     @Override
     public Optional<KeyedRecord> keyed(byte[] bytes, long offset) {
         String[] parts = new String(bytes, StandardCharsets.UTF_8).split("\n", 2);
@@ -156,6 +156,6 @@
             losesNextAnswer = false;
             return CompletableFuture.completedFuture(new TopicAnswer.Unknown<>("no answer"));
         }
-        return appends.thenApply(go -> new TopicAnswer.Done<>(offset));
+        return appendGate.thenApply(gate -> new TopicAnswer.Done<>(offset));
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/RecordRelayTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/RecordRelayTest.java
@@ -20,14 +20,14 @@
     private static final TopicPart PART = new TopicPart("topic", 0);
     private static final byte[] RECORD = "record".getBytes(StandardCharsets.UTF_8);
 
-    /** Takes 0.8 s of the link. */
+    /** Occupies the link of 1 Mbit/s for 0.8 s. */
     private static final byte[] LARGE_RECORD = new byte[100_000];
 
-    private final List<RecordBatch> heard = new ArrayList<>();
+    private final List<RecordBatch> receivedBatches = new ArrayList<>();
     private final List<Long> wholeAtMillis = new ArrayList<>();
-    private final List<byte[]> told = new ArrayList<>();
+    private final List<byte[]> receivedRecords = new ArrayList<>();
     private RelayPair pair;
-    private int lost;
+    private int lossCount;
 
     @BeforeEach
     void start() throws IOException {
@@ -40,16 +40,16 @@
                                     new RecordRelay.Reader() {
                                         @Override
                                         public void onBatch(RecordBatch batch, long wholeAtMillis) {
-                                            heard.add(batch);
+                                            receivedBatches.add(batch);
                                             RecordRelayTest.this.wholeAtMillis.add(wholeAtMillis);
                                         }
 
                                         @Override
                                         public void onLost() {
-                                            lost++;
+                                            lossCount++;
                                         }
                                     });
-                    pair.holder().onTold(PART, told::add);
+                    pair.holder().onFollowerRecord(PART, receivedRecords::add);
                 });
     }
 
@@ -58,45 +58,45 @@
         pair.close();
     }
 
-    private void publishUntilHeard() {
+    private void publishUntilReceived() {
         pair.await(
                 () -> {
                     pair.holder().publish(PART, new RecordBatch(7, List.of(RECORD), 8));
-                    return !heard.isEmpty();
+                    return !receivedBatches.isEmpty();
                 });
     }
 
     @Test
-    void shouldPassOnWhatTheHolderReads() {
-        pair.hold();
+    void shouldRelayRecordsOfTheHolder() {
+        pair.grantLease();
 
-        publishUntilHeard();
+        publishUntilReceived();
 
-        assertThat(heard.get(0).from()).isEqualTo(7);
-        assertThat(heard.get(0).end()).isEqualTo(8);
-        assertThat(heard.get(0).records().get(0)).isEqualTo(RECORD);
+        assertThat(receivedBatches.get(0).from()).isEqualTo(7);
+        assertThat(receivedBatches.get(0).end()).isEqualTo(8);
+        assertThat(receivedBatches.get(0).records().get(0)).isEqualTo(RECORD);
     }
 
-    // Guards against old records that count as new because they were long on their way.
+    // Guards against old records that appear new because their transmission took long.
     @Test
-    void shouldDateABatchByTheTimeUpToWhichItIsWhole() {
-        pair.hold();
-        publishUntilHeard();
+    void shouldRelayTheTimeUpToWhichABatchIsComplete() {
+        pair.grantLease();
+        publishUntilReceived();
 
         long readAtMillis = ControlThread.nowMillis() - 5_000;
         pair.onControl(
                 () -> pair.holder().publish(PART, new RecordBatch(8, List.of(), 8), readAtMillis));
-        pair.await(() -> heard.get(heard.size() - 1).from() == 8);
+        pair.await(() -> receivedBatches.get(receivedBatches.size() - 1).from() == 8);
 
         assertThat(wholeAtMillis.get(wholeAtMillis.size() - 1))
                 .isIn(Range.closed(readAtMillis - 1_000, readAtMillis));
     }
 
-    // Guards against records that keep the link of a small holder from all else for seconds.
+    // Guards against records that occupy the link of a small holder for seconds.
     @Test
-    void shouldTellOnlyWhereToReadWhenTheLinkHasNoRoomForTheRecords() {
-        pair.hold();
-        publishUntilHeard();
+    void shouldSendANoticeWhenTheLinkHasNoCapacityForTheRecords() {
+        pair.grantLease();
+        publishUntilReceived();
 
         pair.onControl(
                 () ->
@@ -105,90 +105,91 @@
                                         PART,
                                         new RecordBatch(8, List.of(RECORD, LARGE_RECORD), 20),
                                         ControlThread.nowMillis()));
-        pair.await(() -> heard.get(heard.size() - 1).end() == 20);
+        pair.await(() -> receivedBatches.get(receivedBatches.size() - 1).end() == 20);
 
-        RecordBatch last = heard.get(heard.size() - 1);
+        RecordBatch last = receivedBatches.get(receivedBatches.size() - 1);
         assertThat(last.records()).isEmpty();
         assertThat(last.from()).isEqualTo(10);
         assertThat(wholeAtMillis.get(wholeAtMillis.size() - 1)).isLessThan(0L);
-        assertThat(pair.holder().notPassedOn()).isEqualTo(1);
+        assertThat(pair.holder().noticeCount()).isEqualTo(1);
     }
 
-    // Guards against what engines hold being lost: no store has it.
+    // Guards against losing the models that engines hold, which are not in the store.
     @Test
-    void shouldPassOnWhatHoldsNowWhateverItsSize() {
-        pair.hold();
-        publishUntilHeard();
+    void shouldRelayCurrentStateOfAnySize() {
+        pair.grantLease();
+        publishUntilReceived();
 
         pair.onControl(
                 () -> pair.holder().publish(PART, new RecordBatch(8, List.of(LARGE_RECORD), 9)));
-        pair.await(() -> heard.get(heard.size() - 1).end() == 9);
+        pair.await(() -> receivedBatches.get(receivedBatches.size() - 1).end() == 9);
 
-        assertThat(heard.get(heard.size() - 1).records().get(0)).isEqualTo(LARGE_RECORD);
-        assertThat(pair.holder().notPassedOn()).isEqualTo(0);
+        assertThat(receivedBatches.get(receivedBatches.size() - 1).records().get(0))
+                .isEqualTo(LARGE_RECORD);
+        assertThat(pair.holder().noticeCount()).isEqualTo(0);
     }
 
     @Test
-    void shouldTellTheHolderOnceItWasHeardOf() {
-        pair.hold();
-        publishUntilHeard();
+    void shouldSendToTheHolderAfterReceivingFromIt() {
+        pair.grantLease();
+        publishUntilReceived();
 
-        pair.onControl(() -> assertThat(pair.follower().tell(PART, RECORD)).isTrue());
+        pair.onControl(() -> assertThat(pair.follower().sendToHolder(PART, RECORD)).isTrue());
 
-        pair.await(() -> !told.isEmpty());
-        assertThat(told.get(0)).isEqualTo(RECORD);
+        pair.await(() -> !receivedRecords.isEmpty());
+        assertThat(receivedRecords.get(0)).isEqualTo(RECORD);
     }
 
-    // A holder that is frozen keeps its connections. What is told to it then would be lost, so the
-    // caller has to hear that it wasn't told, and appends it to the log.
+    // Guards against lost records: the connections of a frozen holder stay open, but it handles no
+    // records. The caller has to learn that the record was not sent, and appends it to the log.
     @Test
-    void shouldNotTellWhenTheHolderFellSilent() {
-        pair.hold();
-        publishUntilHeard();
+    void shouldNotSendWhenTheHolderStoppedSending() {
+        pair.grantLease();
+        publishUntilReceived();
 
-        pair.await(() -> !pair.follower().tell(PART, RECORD));
+        pair.await(() -> !pair.follower().sendToHolder(PART, RECORD));
 
-        assertThat(lost).isEqualTo(0);
+        assertThat(lossCount).isEqualTo(0);
     }
 
     @Test
-    void shouldNotTellWhenNobodyHolds() {
-        pair.onControl(() -> assertThat(pair.follower().tell(PART, RECORD)).isFalse());
+    void shouldNotSendWhenNobodyHoldsTheLease() {
+        pair.onControl(() -> assertThat(pair.follower().sendToHolder(PART, RECORD)).isFalse());
     }
 
-    // The holder gives the lease up. Nothing more comes from it, and the other daemon must not
-    // wait for silence to be noticed before it reads the log itself.
+    // The holder releases the lease and sends nothing more. The other daemon has to read the log
+    // itself at once, without waiting for the staleness bound.
     @Test
-    void shouldSayLostWhenTheHolderNoLongerHolds() {
-        pair.hold();
-        publishUntilHeard();
+    void shouldReportTheLossWhenTheHolderReleasesTheLease() {
+        pair.grantLease();
+        publishUntilReceived();
 
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
 
-        pair.await(() -> lost == 1);
+        pair.await(() -> lossCount == 1);
     }
 
     @Test
-    void shouldNotServeWhoDoesNotKnowTheSecret() {
+    void shouldRejectAFollowerWithAnotherSecret() {
         Contact real = pair.holder().contact().orElseThrow();
-        pair.onControl(() -> pair.holder().holder(true, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(true, Optional.empty()));
         pair.onControl(
                 () ->
                         pair.follower()
-                                .holder(
+                                .updateHolder(
                                         false,
                                         Optional.of(new Contact(real.address(), "another"))));
 
-        pair.await(() -> lost == 1);
+        pair.await(() -> lossCount == 1);
 
-        assertThat(heard).isEmpty();
+        assertThat(receivedBatches).isEmpty();
     }
 
     @Test
-    void shouldGoOnWithoutAHolderWhoseAddressCannotBeRead() {
+    void shouldContinueWithoutAHolderWhoseAddressIsUnreadable() {
         Optional<Contact> unreadable = Optional.of(new Contact("nowhere", "secret"));
-        pair.onControl(() -> pair.follower().holder(false, unreadable));
+        pair.onControl(() -> pair.follower().updateHolder(false, unreadable));
 
-        pair.onControl(() -> assertThat(pair.follower().tell(PART, RECORD)).isFalse());
+        pair.onControl(() -> assertThat(pair.follower().sendToHolder(PART, RECORD)).isFalse());
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/RelayPair.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/RelayPair.java
@@ -10,10 +10,10 @@
 import org.tamaracktrack.link.topic.StoreEra;
 import org.xnio.XnioWorker;
 
-/** The relays of a holder and of one other daemon, connected over loopback. */
+/** The relays of a holder and of one other daemon, for connections over loopback. */
 public final class RelayPair implements AutoCloseable {
-    private static final long PATIENCE_MILLIS = 20_000;
-    private static final long LOOK_MILLIS = 10;
+    private static final long AWAIT_TIMEOUT_MILLIS = 20_000;
+    private static final long POLL_INTERVAL_MILLIS = 10;
     private static final double LINK_MEGABITS = 100;
 
     private final ControlThread control = ControlThread.of("test");
@@ -53,7 +53,7 @@
         return follower;
     }
 
-    /** The relay of a further daemon, which nobody reaches. */
+    /** Returns the relay of another daemon, which no daemon can reach. */
     public RecordRelay unconnected() {
         return RecordRelay.of(
                 worker,
@@ -63,35 +63,34 @@
                 new RelayLimits(LINK_MEGABITS));
     }
 
-    /** The one daemon takes the lease, the other learns of it. */
-    public void hold() {
-        onControl(() -> holder.holder(true, Optional.empty()));
-        onControl(() -> follower.holder(false, holder.contact()));
+    /** Gives the lease to the holder and passes its contact to the follower. */
+    public void grantLease() {
+        onControl(() -> holder.updateHolder(true, Optional.empty()));
+        onControl(() -> follower.updateHolder(false, holder.contact()));
     }
 
-    /**
-     * Runs something on the control thread and waits for its end; what it throws is thrown here.
-     */
+    /** Runs a task on the control thread and waits for its end. Rethrows its exception, if any. */
     public void onControl(Runnable task) {
         CompletableFuture.runAsync(task, control::post).join();
     }
 
-    /** Waits until something holds, looked at on the control thread. */
+    /** Waits until a condition holds, which is evaluated on the control thread. */
     public void await(BooleanSupplier condition) {
-        long untilNanos = System.nanoTime() + Duration.ofMillis(PATIENCE_MILLIS).toNanos();
+        long untilNanos = System.nanoTime() + Duration.ofMillis(AWAIT_TIMEOUT_MILLIS).toNanos();
         boolean[] holds = {false};
         while (!holds[0]) {
             if (System.nanoTime() > untilNanos) {
-                throw new AssertionError("did not come about in " + PATIENCE_MILLIS + " ms");
+                throw new AssertionError(
+                        "condition not met within " + AWAIT_TIMEOUT_MILLIS + " ms");
             }
-            CompletableFuture<Void> looked = new CompletableFuture<>();
+            CompletableFuture<Void> polled = new CompletableFuture<>();
             control.after(
-                    LOOK_MILLIS,
+                    POLL_INTERVAL_MILLIS,
                     () -> {
                         holds[0] = condition.getAsBoolean();
-                        looked.complete(null);
+                        polled.complete(null);
                     });
-            looked.join();
+            polled.join();
         }
     }
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/TestWorker.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/TestWorker.java
@@ -6,7 +6,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A worker with one thread for input and output, as the daemon has. */
+/** Starts a worker with one input/output thread, as in the daemon. */
 public final class TestWorker {
     private TestWorker() {}
 
