--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/Duties.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/Duties.java
@@ -15,13 +15,13 @@
 import org.tamaracktrack.daemon.runtime.DaemonRuntime;
 import org.tamaracktrack.daemon.runtime.LogFollower;
 
-/** The duties of an entry daemon, which it fulfils while it holds their leases. */
+/** Runs the duties of an entry daemon, each of which it performs while it holds its lease. */
 public final class Duties {
     private static final long LEASE_MILLIS = 10_000;
-    private static final long LONGEST_CLAIM_DELAY_MILLIS = 2_000;
+    private static final long MAXIMUM_CLAIM_DELAY_MILLIS = 2_000;
     private static final long LEASE_TICK_MILLIS = 250;
-    private static final long WORK_TICK_MILLIS = 1_000;
-    private static final long RELEASE_LIMIT_MILLIS = 2_000;
+    private static final long DUTY_TICK_MILLIS = 1_000;
+    private static final long RELEASE_TIMEOUT_MILLIS = 2_000;
 
     private final DaemonRuntime runtime;
     private final PlanRegister plans = PlanRegister.empty();
@@ -56,8 +56,8 @@
     /**
      * Starts to compete for the duties.
      *
-     * @param runtime the parts of the process
-     * @param targets what the daemon last heard of the targets
+     * @param runtime the components of the process
+     * @param targets the last observed states of the targets
      * @param placement the placement policy
      * @return the duties
      */
@@ -73,8 +73,8 @@
     /**
      * Starts to compete for the duties with the default placement policy.
      *
-     * @param runtime the parts of the process
-     * @param targets what the daemon last heard of the targets
+     * @param runtime the components of the process
+     * @param targets the last observed states of the targets
      * @return the duties
      */
     public static Duties start(DaemonRuntime runtime, TargetView targets) {
@@ -82,14 +82,14 @@
     }
 
     private DutyLease lease(Duty duty) {
-        LeaseManager keeper =
+        LeaseManager manager =
                 LeaseManager.of(
                         duty,
                         runtime.incarnation(),
                         LEASE_MILLIS,
-                        ThreadLocalRandom.current().nextLong(LONGEST_CLAIM_DELAY_MILLIS),
+                        ThreadLocalRandom.current().nextLong(MAXIMUM_CLAIM_DELAY_MILLIS),
                         ControlThread.nowMillis());
-        return DutyLease.of(duty.text(), keeper, appender);
+        return DutyLease.of(duty.text(), manager, appender);
     }
 
     private void begin() {
@@ -98,7 +98,7 @@
                         LogFollower.start(
                                 runtime.log(), LogStream.PLAN, runtime.control(), new Listener()));
         runtime.control().every(LEASE_TICK_MILLIS, this::tickLeases);
-        runtime.control().every(WORK_TICK_MILLIS, this::tickDuties);
+        runtime.control().every(DUTY_TICK_MILLIS, this::tickDuties);
     }
 
     private void tickLeases() {
@@ -118,27 +118,29 @@
     }
 
     /**
-     * Returns whether this process may act on a duty now. For any thread.
+     * Returns whether this process may act on a duty now. May be called by any thread.
      *
      * @param duty the duty
-     * @return true while its lease can be trusted
+     * @return true while its lease is valid
      */
     public boolean holds(Duty duty) {
-        return (duty == Duty.PLANNER ? plannerLease : reporterLease).trusted();
+        return (duty == Duty.PLANNER ? plannerLease : reporterLease).isValid();
     }
 
     /**
-     * Gives the duties up, so that another process takes them at once. Not for the control thread.
+     * Releases the leases of the duties, so that another process can take them at once. Blocks
+     * until the releases are written or a timeout has passed; must not be called on the control
+     * thread.
      */
     public void drain() {
         CountDownLatch released = new CountDownLatch(1);
         runtime.control().post(() -> release(released));
         try {
-            released.await(RELEASE_LIMIT_MILLIS, TimeUnit.MILLISECONDS);
+            released.await(RELEASE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        appender.drain(RELEASE_LIMIT_MILLIS);
+        appender.drain(RELEASE_TIMEOUT_MILLIS);
     }
 
     private void release(CountDownLatch released) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/DutyAppender.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/DutyAppender.java
@@ -13,19 +13,28 @@
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Appends the records of the duties one at a time, off the control thread. */
+/** Appends the records of the duties to the log, one at a time on a thread of its own. */
 final class DutyAppender {
     private final LogClient log;
     private final ControlThread control;
     private final ExecutorService executor;
 
-    /** Hears of the outcome of an append, on the control thread. */
+    /** Receives the outcome of an append, on the control thread. */
     interface Listener {
 
-        /** The record was written at an offset, and sent at a monotonic time. */
+        /**
+         * Called when the record was written.
+         *
+         * @param offset the offset of the record
+         * @param sentAtMillis the monotonic time right before it was sent, in milliseconds
+         */
         void onAppended(long offset, long sentAtMillis);
 
-        /** The record was not written, or no answer says so. */
+        /**
+         * Called when the record was not written, or no answer confirmed it.
+         *
+         * @param code the cause
+         */
         void onFailed(ErrorCode code);
     }
 
@@ -48,27 +57,28 @@
     }
 
     /**
-     * Appends a record unless its reason has gone by the time it is its turn.
+     * Appends a record after the earlier ones, unless it must no longer be sent then.
      *
      * @param stream the stream
      * @param entry the record
-     * @param stillDue asked right before the record is sent, on the appending thread
-     * @param listener hears of the outcome
+     * @param maySend evaluated right before the record is sent, on the appending thread; the record
+     *     is sent only if it returns true
+     * @param listener receives the outcome
      */
-    void append(LogStream stream, LogEntry entry, BooleanSupplier stillDue, Listener listener) {
+    void append(LogStream stream, LogEntry entry, BooleanSupplier maySend, Listener listener) {
         try {
-            executor.execute(() -> appendNow(stream, entry, stillDue, listener));
+            executor.execute(() -> appendNow(stream, entry, maySend, listener));
         } catch (RejectedExecutionException closed) {
             control.post(() -> listener.onFailed(ErrorCode.LEAVING));
         }
     }
 
-    // The process may have been paused between the decision and this moment, long enough for
-    // another to hold the duty. A record sent now would be an order from a former holder; asking
-    // again right here leaves only a pause within the append, which the log's order settles.
+    // The process may have been paused since the decision for so long that another one holds the
+    // duty by now, and a record sent now would come from a former holder. After this check, only a
+    // pause within the append remains, which the order of records in the log resolves.
     private void appendNow(
-            LogStream stream, LogEntry entry, BooleanSupplier stillDue, Listener listener) {
-        if (!stillDue.getAsBoolean()) {
+            LogStream stream, LogEntry entry, BooleanSupplier maySend, Listener listener) {
+        if (!maySend.getAsBoolean()) {
             control.post(() -> listener.onFailed(ErrorCode.SUPERSEDED));
             return;
         }
@@ -81,11 +91,11 @@
         }
     }
 
-    /** Waits until every record given so far was tried. */
-    void drain(long limitMillis) {
+    /** Accepts no more records and waits for the pending appends, at most for the given timeout. */
+    void drain(long timeoutMillis) {
         executor.shutdown();
         try {
-            executor.awaitTermination(limitMillis, TimeUnit.MILLISECONDS);
+            executor.awaitTermination(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/DutyLease.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/DutyLease.java
@@ -10,74 +10,77 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 
-/** The lease of one duty: appends what the keeper asks for. On the control thread. */
+/**
+ * Appends the records of the lease of one duty as its manager requires. Used on the control thread
+ * only, except where stated otherwise.
+ */
 final class DutyLease {
     private static final Logger LOG = Logger.getLogger(DutyLease.class);
 
     private final String duty;
-    private final LeaseManager keeper;
+    private final LeaseManager manager;
     private final DutyAppender appender;
-    private volatile long trustedUntilMillis = Long.MIN_VALUE;
+    private volatile long validUntilMillis = Long.MIN_VALUE;
     private boolean holding;
 
-    private DutyLease(String duty, LeaseManager keeper, DutyAppender appender) {
+    private DutyLease(String duty, LeaseManager manager, DutyAppender appender) {
         this.duty = duty;
-        this.keeper = keeper;
+        this.manager = manager;
         this.appender = appender;
     }
 
-    static DutyLease of(String duty, LeaseManager keeper, DutyAppender appender) {
-        return new DutyLease(duty, keeper, appender);
+    static DutyLease of(String duty, LeaseManager manager, DutyAppender appender) {
+        return new DutyLease(duty, manager, appender);
     }
 
     void onRecord(LogRecord record) {
-        keeper.handle(record, ControlThread.nowMillis());
-        observe();
+        manager.handle(record, ControlThread.nowMillis());
+        updateState();
     }
 
     void tick() {
-        keeper.tick(ControlThread.nowMillis())
+        manager.tick(ControlThread.nowMillis())
                 .ifPresent(
                         entry -> appender.append(LogStream.PLAN, entry, () -> true, new Outcome()));
-        observe();
+        updateState();
     }
 
-    private void observe() {
-        trustedUntilMillis = keeper.validUntilMillis();
-        boolean now = term().isPresent();
-        if (now != holding) {
-            holding = now;
-            LOG.infof("event=duty-%s duty=%s", now ? "taken" : "lost", duty);
+    private void updateState() {
+        validUntilMillis = manager.validUntilMillis();
+        boolean holdsNow = term().isPresent();
+        if (holdsNow != holding) {
+            holding = holdsNow;
+            LOG.infof("event=duty-%s duty=%s", holdsNow ? "taken" : "lost", duty);
         }
     }
 
-    /** Returns the term while the lease can be trusted. */
+    /** Returns the term while the lease is valid, empty otherwise. */
     OptionalLong term() {
-        return keeper.term(ControlThread.nowMillis());
+        return manager.term(ControlThread.nowMillis());
     }
 
-    /** Returns whether the lease can be trusted now. For any thread. */
-    boolean trusted() {
-        return ControlThread.nowMillis() < trustedUntilMillis;
+    /** Returns whether the lease is valid now. May be called by any thread. */
+    boolean isValid() {
+        return ControlThread.nowMillis() < validUntilMillis;
     }
 
     void release() {
-        Optional<LogEntry> release = keeper.release(ControlThread.nowMillis());
+        Optional<LogEntry> release = manager.release(ControlThread.nowMillis());
         release.ifPresent(
                 entry -> appender.append(LogStream.PLAN, entry, () -> true, new Outcome()));
-        observe();
+        updateState();
     }
 
     private final class Outcome implements DutyAppender.Listener {
         @Override
         public void onAppended(long offset, long sentAtMillis) {
-            keeper.appended(offset, sentAtMillis);
-            observe();
+            manager.appended(offset, sentAtMillis);
+            updateState();
         }
 
         @Override
         public void onFailed(ErrorCode code) {
-            keeper.appendFailed(ControlThread.nowMillis());
+            manager.appendFailed(ControlThread.nowMillis());
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/PlannerDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/PlannerDuty.java
@@ -25,11 +25,11 @@
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.daemon.runtime.DaemonRuntime;
 
-/** Publishes placement plans while this process holds the duty. On the control thread. */
+/** Publishes placement plans while this process holds the duty. Used on the control thread only. */
 final class PlannerDuty {
     private static final Logger LOG = Logger.getLogger(PlannerDuty.class);
-    private static final int REPORTS_PER_REPEAT = 60;
-    private static final long READ_BACK_LIMIT_MILLIS = 5_000;
+    private static final int REPORT_INTERVALS_PER_REPEAT = 60;
+    private static final long READ_BACK_TIMEOUT_MILLIS = 5_000;
 
     private final DaemonRuntime runtime;
     private final TargetView targets;
@@ -45,7 +45,7 @@
     private boolean appending;
     private long awaitedOffset = -1;
     private long publishedAtMillis;
-    private long observedAtMillis;
+    private long runningRecordedAtMillis;
 
     private PlannerDuty(
             DaemonRuntime runtime,
@@ -82,38 +82,39 @@
             follower.stop();
             return;
         }
-        follower.start(this::begin);
+        follower.start(this::beginTerm);
         Optional<ConfigurationSource.Versioned> configuration = runtime.configuration().current();
         if (configuration.isPresent() && follower.caughtUp() && !awaitingReadBack()) {
             plan(term.getAsLong(), configuration.get());
         }
     }
 
-    // Times of unreachability and load tokens of an earlier term are stale by now: targets would
-    // seem lost for as long as the duty was elsewhere.
-    private ReportsFollower.Sink begin() {
+    // The planner of an earlier term is discarded, since its unreachability times and load tokens
+    // are stale: targets would count as lost for the time in which another process held the duty.
+    private ReportsFollower.Sink beginTerm() {
         planner = Planner.of(policy, Planner.DEFAULT_LOSS_GRACE_MILLIS);
         demand = DemandEstimator.empty();
-        observedAtMillis = ControlThread.nowMillis();
+        runningRecordedAtMillis = ControlThread.nowMillis();
         return new DemandSink();
     }
 
-    // The next plan starts from the one in force. Until the last append was read back, that is not
-    // known, and a copy could be planned twice.
+    // Each plan is based on the plan in force, which is known only once the last appended plan was
+    // read back. Planning earlier could place a replica twice.
     private boolean awaitingReadBack() {
-        boolean unread = plans.inForceOffset() < awaitedOffset;
-        boolean inTime = ControlThread.nowMillis() - publishedAtMillis < READ_BACK_LIMIT_MILLIS;
-        return appending || unread && inTime;
+        boolean notReadBack = plans.inForceOffset() < awaitedOffset;
+        boolean withinTimeout =
+                ControlThread.nowMillis() - publishedAtMillis < READ_BACK_TIMEOUT_MILLIS;
+        return appending || notReadBack && withinTimeout;
     }
 
     private void plan(long term, ConfigurationSource.Versioned configuration) {
         PlanningView view = view(configuration);
-        observe(view);
+        recordRunning(view);
         List<Placement> inForce =
                 plans.inForce().map(LogEntry.PlanPublished::placements).orElse(List.of());
         try {
             List<Placement> next = planner.next(inForce, view);
-            if (due(next, inForce)) {
+            if (mustPublish(next, inForce)) {
                 publish(term, configuration.version(), next);
             }
         } catch (TamaracktrackException breach) {
@@ -122,10 +123,11 @@
         }
     }
 
-    private boolean due(List<Placement> next, List<Placement> inForce) {
+    private boolean mustPublish(List<Placement> next, List<Placement> inForce) {
         boolean changed = !Set.copyOf(next).equals(Set.copyOf(inForce));
         long ageMillis = ControlThread.nowMillis() - publishedAtMillis;
-        boolean repeat = ageMillis >= REPORTS_PER_REPEAT * runtime.settings().reportMillis();
+        boolean repeat =
+                ageMillis >= REPORT_INTERVALS_PER_REPEAT * runtime.settings().reportMillis();
         return !next.isEmpty() && (changed || repeat);
     }
 
@@ -135,7 +137,7 @@
         appender.append(
                 LogStream.PLAN,
                 new LogEntry.PlanPublished(runtime.incarnation(), term, version, placements),
-                lease::trusted,
+                lease::isValid,
                 new Outcome());
     }
 
@@ -152,25 +154,25 @@
                 demand.demand());
     }
 
-    private static TargetStatus status(TargetView.Seen seen) {
+    private static TargetStatus status(TargetView.TargetObservation observation) {
         return new TargetStatus(
-                seen.reachable(),
-                seen.load().leaving(),
-                seen.load().running(),
-                seen.load().queued(),
-                Set.copyOf(seen.load().resident()),
-                Set.copyOf(seen.load().adapters()),
-                Set.copyOf(seen.load().loading()));
+                observation.reachable(),
+                observation.load().leaving(),
+                observation.load().running(),
+                observation.load().queued(),
+                Set.copyOf(observation.load().resident()),
+                Set.copyOf(observation.load().adapters()),
+                Set.copyOf(observation.load().loading()));
     }
 
-    private void observe(PlanningView view) {
+    private void recordRunning(PlanningView view) {
         int running =
                 view.targets().values().stream()
                         .filter(TargetStatus::reachable)
                         .mapToInt(TargetStatus::running)
                         .sum();
-        demand.observeRunning(running, view.nowMillis() - observedAtMillis);
-        observedAtMillis = view.nowMillis();
+        demand.observeRunning(running, view.nowMillis() - runningRecordedAtMillis);
+        runningRecordedAtMillis = view.nowMillis();
     }
 
     private final class DemandSink implements ReportsFollower.Sink {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/ReporterDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/ReporterDuty.java
@@ -9,14 +9,14 @@
 import org.tamaracktrack.daemon.runtime.DaemonRuntime;
 
 /**
- * Keeps what must outlast the log's retention: appends snapshots of the reports well before the
- * records that they stand for expire. On the control thread.
+ * Preserves the sums of the reports beyond the retention of the log: appends snapshots well before
+ * the records that they replace expire. Used on the control thread only.
  */
 final class ReporterDuty {
-    private static final int REPORTS_PER_SNAPSHOT = 60;
-    private static final int LEAST_RECORDS_PER_SNAPSHOT = 60;
+    private static final int REPORT_INTERVALS_PER_SNAPSHOT = 60;
+    private static final int MINIMUM_RECORDS_PER_SNAPSHOT = 60;
     private static final int RECORDS_PER_PROCESS = 4;
-    private static final int SILENT_REPORTS = 18;
+    private static final int REPORT_INTERVALS_UNTIL_MISSING = 18;
 
     private final DaemonRuntime runtime;
     private final DutyLease lease;
@@ -24,7 +24,7 @@
     private final ReportsFollower follower;
     private ReportRollUp rollUp;
     private long recordsSinceSnapshot;
-    private long reportsWrittenAtMillis;
+    private long snapshotAtMillis;
     private boolean appending;
 
     private ReporterDuty(DaemonRuntime runtime, DutyLease lease, DutyAppender appender) {
@@ -32,19 +32,19 @@
         this.lease = lease;
         this.appender = appender;
         this.follower = ReportsFollower.of(runtime);
-        this.rollUp = ReportRollUp.empty(silentMillis());
+        this.rollUp = ReportRollUp.empty(missingAfterMillis());
     }
 
     static ReporterDuty of(DaemonRuntime runtime, DutyLease lease, DutyAppender appender) {
         return new ReporterDuty(runtime, lease, appender);
     }
 
-    private long silentMillis() {
-        return SILENT_REPORTS * runtime.settings().reportMillis();
+    private long missingAfterMillis() {
+        return REPORT_INTERVALS_UNTIL_MISSING * runtime.settings().reportMillis();
     }
 
-    private long snapshotMillis() {
-        return REPORTS_PER_SNAPSHOT * runtime.settings().reportMillis();
+    private long snapshotIntervalMillis() {
+        return REPORT_INTERVALS_PER_SNAPSHOT * runtime.settings().reportMillis();
     }
 
     void tick() {
@@ -59,9 +59,9 @@
     }
 
     private ReportsFollower.Sink beginRollUp() {
-        rollUp = ReportRollUp.empty(silentMillis());
+        rollUp = ReportRollUp.empty(missingAfterMillis());
         recordsSinceSnapshot = 0;
-        reportsWrittenAtMillis = ControlThread.nowMillis();
+        snapshotAtMillis = ControlThread.nowMillis();
         return new RollUpSink();
     }
 
@@ -70,24 +70,24 @@
             return;
         }
         rollUp.continueWithoutSnapshot();
-        long ageMillis = ControlThread.nowMillis() - reportsWrittenAtMillis;
-        long enough =
+        long ageMillis = ControlThread.nowMillis() - snapshotAtMillis;
+        long recordThreshold =
                 Math.max(
-                        LEAST_RECORDS_PER_SNAPSHOT,
+                        MINIMUM_RECORDS_PER_SNAPSHOT,
                         (long) RECORDS_PER_PROCESS * rollUp.processCount());
         boolean due =
-                recordsSinceSnapshot >= enough
-                        || recordsSinceSnapshot > 0 && ageMillis >= snapshotMillis();
+                recordsSinceSnapshot >= recordThreshold
+                        || recordsSinceSnapshot > 0 && ageMillis >= snapshotIntervalMillis();
         if (due) {
             rollUp.snapshot().ifPresent(this::append);
             recordsSinceSnapshot = 0;
-            reportsWrittenAtMillis = ControlThread.nowMillis();
+            snapshotAtMillis = ControlThread.nowMillis();
         }
     }
 
     private void append(LogEntry entry) {
         appending = true;
-        appender.append(LogStream.REPORTS, entry, lease::trusted, new Outcome());
+        appender.append(LogStream.REPORTS, entry, lease::isValid, new Outcome());
     }
 
     private final class RollUpSink implements ReportsFollower.Sink {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/ReportsFollower.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/ReportsFollower.java
@@ -8,8 +8,9 @@
 import org.tamaracktrack.daemon.runtime.LogFollower;
 
 /**
- * Follows the reports stream while a duty needs it. Read by every entry daemon all the time, the
- * stream would cost each of them more than its whole budget for control.
+ * Follows the reports stream only while a duty needs it. If all entry daemons always read the
+ * stream, its cost would exceed the processor budget of each for control tasks. Used on the control
+ * thread only.
  */
 final class ReportsFollower {
     private final DaemonRuntime runtime;
@@ -17,13 +18,13 @@
     private long generation;
     private boolean caughtUp;
 
-    /** Takes the stream in. On the control thread. */
+    /** Receives the records of the stream, on the control thread. */
     interface Sink {
 
-        /** A record, in offset order. */
+        /** Called for each record, in the order of offsets. */
         void onRecord(LogRecord record);
 
-        /** Records before this offset expired unread. */
+        /** Called when the records before the given offset expired unread. */
         void onGap(long firstOffset);
     }
 
@@ -36,11 +37,11 @@
     }
 
     /**
-     * Starts to follow from the oldest record, if it does not yet.
+     * Starts to follow from the oldest record, unless already started.
      *
-     * @param sink makes what takes the records in
+     * @param sinkFactory creates the receiver of the records; called only when following starts
      */
-    void start(Supplier<Sink> sink) {
+    void start(Supplier<Sink> sinkFactory) {
         if (follower.isPresent()) {
             return;
         }
@@ -51,7 +52,7 @@
                                 runtime.log(),
                                 LogStream.REPORTS,
                                 runtime.control(),
-                                new Listener(generation, sink.get())));
+                                new Listener(generation, sinkFactory.get())));
     }
 
     void stop() {
@@ -60,43 +61,43 @@
         caughtUp = false;
     }
 
-    /** Returns whether every record there was has been taken in. */
+    /** Returns whether the end of the stream has been reached since the start. */
     boolean caughtUp() {
         return caughtUp;
     }
 
     private final class Listener implements LogFollower.Listener {
-        private final long own;
+        private final long ownGeneration;
         private final Sink sink;
 
-        private Listener(long own, Sink sink) {
-            this.own = own;
+        private Listener(long ownGeneration, Sink sink) {
+            this.ownGeneration = ownGeneration;
             this.sink = sink;
         }
 
-        // A follower that was closed may still have a batch under way; its records must not reach
-        // the next one's state.
-        private boolean current() {
-            return own == generation && follower.isPresent();
+        // A closed follower may still deliver a pending batch, whose records must not reach the
+        // receiver of the next one.
+        private boolean isCurrent() {
+            return ownGeneration == generation && follower.isPresent();
         }
 
         @Override
         public void onRecord(LogRecord record) {
-            if (current()) {
+            if (isCurrent()) {
                 sink.onRecord(record);
             }
         }
 
         @Override
         public void onGap(long firstOffset) {
-            if (current()) {
+            if (isCurrent()) {
                 sink.onGap(firstOffset);
             }
         }
 
         @Override
         public void onCaughtUp(long nextOffset) {
-            caughtUp = caughtUp || current();
+            caughtUp = caughtUp || isCurrent();
         }
 
         @Override
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/TargetView.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/TargetView.java
@@ -5,27 +5,27 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.message.Message;
 
-/** What an entry daemon last heard of the targets. For the control thread. */
+/** The last observed states of the targets. Used on the control thread only. */
 public interface TargetView {
 
     /**
-     * Returns the targets that were ever heard of.
+     * Returns the targets that have ever sent a load report.
      *
-     * @return what was last seen of each
+     * @return the last observation of each
      */
-    Map<TargetId, Seen> targets();
+    Map<TargetId, TargetObservation> targets();
 
     /**
-     * What was last seen of a target.
+     * The last observation of a target.
      *
      * @param load its last load report
-     * @param ageMillis how old the report is
-     * @param reachable whether a connection to it is up
+     * @param ageMillis the age of the report in milliseconds
+     * @param reachable whether a connection to the target is open
      */
-    record Seen(Message.Load load, long ageMillis, boolean reachable) {
+    record TargetObservation(Message.Load load, long ageMillis, boolean reachable) {
 
         /** Checks the arguments. */
-        public Seen {
+        public TargetObservation {
             Objects.requireNonNull(load, "load is null");
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/package-info.java
@@ -1,2 +1,2 @@
-/** The duties that one entry daemon at a time holds by a lease in the log. */
+/** The duties that one entry daemon at a time performs, each held by a lease in the log. */
 package org.tamaracktrack.daemon.duty;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetDirectory.java
@@ -195,13 +195,13 @@
     }
 
     @Override
-    public Map<TargetId, TargetView.Seen> targets() {
+    public Map<TargetId, TargetView.TargetObservation> targets() {
         return table.loads(ControlThread.nowMillis()).entrySet().stream()
                 .collect(
                         Collectors.toMap(
                                 Map.Entry::getKey,
                                 entry ->
-                                        new TargetView.Seen(
+                                        new TargetView.TargetObservation(
                                                 entry.getValue().load(),
                                                 entry.getValue().ageMillis(),
                                                 links.containsKey(entry.getKey()))));
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
@@ -50,8 +50,8 @@
     private static final long RETRY_MILLIS = 700;
 
     /**
-     * The initial buffer suits records of a few hundred bytes. A connection with a longer send
-     * queue is closed, since a daemon that stops receiving does better to read the store.
+     * Small reads, as records have a few hundred bytes. A connection whose send queue exceeds the
+     * limit is closed, since a daemon that stops receiving does better to read the store.
      */
     private static final XnioFrameTransport.Format FORMAT =
             new XnioFrameTransport.Format(
--- a/daemon/src/test/java/org/tamaracktrack/daemon/counters/CounterPublisherTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/counters/CounterPublisherTest.java
@@ -7,12 +7,12 @@
 import org.tamaracktrack.core.id.IncarnationId;
 import org.tamaracktrack.core.log.LogEntry.CountersPublished;
 import org.tamaracktrack.core.log.LogStream;
-import org.tamaracktrack.daemon.duty.DutyLog;
+import org.tamaracktrack.daemon.duty.InMemoryLogClient;
 
 class CounterPublisherTest {
     private static final String NAME = "requests|north|approval|interactive|in_class";
 
-    private final DutyLog log = new DutyLog();
+    private final InMemoryLogClient log = new InMemoryLogClient();
     private final Counters counters = Counters.empty();
 
     private CounterPublisher start() {
@@ -29,10 +29,10 @@
     void shouldSayEverythingAgainWhenTheLogWasOut() {
         CounterPublisher publisher = start();
         log.await(LogStream.REPORTS, CountersPublished.class, record -> true);
-        log.out(true);
+        log.setUnavailable(true);
         counters.add(NAME, 7);
 
-        log.out(false);
+        log.setUnavailable(false);
         log.await(
                 LogStream.REPORTS,
                 CountersPublished.class,
@@ -58,7 +58,7 @@
 
     @Test
     void shouldSayThatTheLastRecordIsLostWhenTheLogStaysOut() {
-        log.out(true);
+        log.setUnavailable(true);
         CounterPublisher publisher = start();
 
         assertThat(publisher.drain(300)).isFalse();
--- a/daemon/src/test/java/org/tamaracktrack/daemon/duty/DutiesTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/duty/DutiesTest.java
@@ -31,14 +31,14 @@
 import org.tamaracktrack.daemon.settings.Settings;
 
 class DutiesTest {
-    private static final TargetId RUNNER = TargetId.of("runner-1");
+    private static final TargetId TARGET = TargetId.of("runner-1");
     private static final ModelId MODEL = ModelId.of("approval");
 
-    private final DutyLog log = new DutyLog();
+    private final InMemoryLogClient log = new InMemoryLogClient();
     private final List<ControlThread> controls = new ArrayList<>();
 
-    /** One configuration, in force from the start. */
-    private static final class Fixed implements ConfigurationSource {
+    /** Provides one configuration that is in force from the start and never changes. */
+    private static final class FixedConfigurationSource implements ConfigurationSource {
         @Override
         public Optional<Versioned> current() {
             return Optional.of(new Versioned(4, "{}", configuration()));
@@ -60,13 +60,13 @@
                 Map.of(MODEL, new Configuration.Model(MODEL, "1", 100)),
                 Map.of(),
                 Map.of(),
-                Map.of(RUNNER, runner()),
+                Map.of(TARGET, target()),
                 Map.of());
     }
 
-    private static Configuration.Target runner() {
+    private static Configuration.Target target() {
         return new Configuration.Target(
-                RUNNER,
+                TARGET,
                 Configuration.TargetKind.ENGINE,
                 HostId.of("host-1"),
                 DataCentreId.of("quito-1"),
@@ -90,10 +90,10 @@
                         null,
                         null,
                         new PrometheusMeterRegistry(PrometheusConfig.DEFAULT),
-                        new Fixed());
+                        new FixedConfigurationSource());
         Message.Load load =
-                new Message.Load(RUNNER, 1, false, 0, 0, Map.of(), List.of(), List.of(), List.of());
-        TargetView targets = () -> Map.of(RUNNER, new TargetView.Seen(load, 0, true));
+                new Message.Load(TARGET, 1, false, 0, 0, Map.of(), List.of(), List.of(), List.of());
+        TargetView targets = () -> Map.of(TARGET, new TargetView.TargetObservation(load, 0, true));
         return Duties.start(runtime, targets, PlacementKind.HYSTERESIS);
     }
 
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void shouldPublishAHomeForEveryModelWhenItHoldsTheDuty() {
+    void shouldPublishAPlacementForEveryModelWhenItHoldsTheDuty() {
         Duties duties = start("entry-1");
 
         LogEntry.PlanPublished plan = awaitPlan("entry-1");
@@ -143,11 +143,10 @@
         assertThat(duties.holds(Duty.PLANNER)).isFalse();
     }
 
-    // The entry daemon that plans is stopped in good order while another one waits. Without a
-    // release
-    // the duty would stand still until the lease had lapsed.
+    // Guards against a duty that nobody performs until its lease expires, because the holder did
+    // not release it when it was stopped in a planned way.
     @Test
-    void shouldHandTheDutyOverAtOnceWhenTheHolderDrains() {
+    void shouldHandOverTheDutyAtOnceWhenTheHolderDrains() {
         Duties first = start("entry-1");
         awaitPlan("entry-1");
         Duties second = start("entry-2");
@@ -164,9 +163,9 @@
         second.drain();
     }
 
-    // Processes publish counters; well before they expire, their sums have to be in a snapshot.
+    // Guards against losing counters that expire in the log before a snapshot contains their sums.
     @Test
-    void shouldSnapshotTheReportsWhenManyRecordsHaveCome() {
+    void shouldAppendAReportSnapshotAfterManyRecords() {
         Duties duties = start("entry-1");
         for (int sequence = 0; sequence < 70; sequence++) {
             log.append(
--- a/daemon/src/test/java/org/tamaracktrack/daemon/duty/DutyLog.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/duty/InMemoryLogClient.java
@@ -13,18 +13,18 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** The log in memory; it can be out, and lets a test wait for a record. */
-public final class DutyLog implements LogClient {
+/** An in-memory log that can be made unavailable and lets a test wait for a record. */
+public final class InMemoryLogClient implements LogClient {
     private final Map<LogStream, List<LogRecord>> streams = new EnumMap<>(LogStream.class);
-    private boolean out;
+    private boolean unavailable;
 
-    public synchronized void out(boolean now) {
-        out = now;
+    public synchronized void setUnavailable(boolean newValue) {
+        unavailable = newValue;
         notifyAll();
     }
 
     private List<LogRecord> records(LogStream stream) {
-        if (out) {
+        if (unavailable) {
             throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "outage");
         }
         return streams.computeIfAbsent(stream, unused -> new ArrayList<>());
@@ -57,7 +57,9 @@
         }
     }
 
-    /** Waits for a record, ten seconds at most. */
+    /**
+     * Waits for a record that satisfies the condition, and returns the last one. Fails after 10 s.
+     */
     public synchronized <T extends LogEntry> T await(
             LogStream stream, Class<T> type, Predicate<T> wanted) {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
@@ -68,7 +70,7 @@
             }
             pause(100);
         }
-        throw new AssertionError("no such record within 10 s: " + type.getSimpleName());
+        throw new AssertionError("no matching record within 10 s: " + type.getSimpleName());
     }
 
     public synchronized <T extends LogEntry> List<T> entries(LogStream stream, Class<T> type) {
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/FollowersTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/FollowersTest.java
@@ -108,7 +108,7 @@
 
     // Guards against a frozen daemon that uses up the capacity for the others.
     @Test
-    void shouldSendANoticeOnlyToAFollowerThatDoesNotReceive() {
+    void shouldSendANoticeOnlyToAFollowerWithAFullQueue() {
         RecordingConnection stuck = follower();
         RecordingConnection other = follower();
         stuck.queuedBytes = BYTES_IN_200_MILLIS / 2;
