--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/CopyDuty.java
@@ -23,9 +23,12 @@
     private final ControlThread control;
 
     private CopyDuty(
-            LeaseDriver lease, OrderGiver giver, HoldingsExchange holdings, ControlThread control) {
+            LeaseDriver lease,
+            OrderGiver orderGiver,
+            HoldingsExchange holdings,
+            ControlThread control) {
         this.lease = lease;
-        this.orderGiver = giver;
+        this.orderGiver = orderGiver;
         this.holdings = holdings;
         this.control = control;
     }
@@ -89,10 +92,10 @@
         HoldingsExchange holdings =
                 HoldingsExchange.start(
                         new TopicPart(member.topic(), 2), relay, control, fleetListener);
-        OrderGiver giver =
+        OrderGiver orderGiver =
                 OrderGiver.start(
                         orders, lease, control, demand, holdings, member.handoverPauseMillis());
-        return new CopyDuty(lease, giver, holdings, control);
+        return new CopyDuty(lease, orderGiver, holdings, control);
     }
 
     /**
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
@@ -43,7 +43,7 @@
      * The interval at which the holder stores which models were ever requested; the store keeps
      * records for 20 s. Without them the next holder would keep replicas of unrequested models.
      */
-    private static final long HISTORY_INTERVAL_MILLIS = 4_000;
+    private static final long REQUESTED_MODELS_INTERVAL_MILLIS = 4_000;
 
     private final String process;
     private final TopicClient topics;
@@ -57,9 +57,9 @@
     private final Map<ModelNeed, Integer> patient = new HashMap<>();
     private Set<ModelNeed> reportedWaiting = Set.of();
     private long reportedAtMillis;
-    private long historyAppendedAtMillis;
+    private long requestedModelsAppendedAtMillis;
     private boolean reading;
-    private boolean skipHistory;
+    private boolean mustSkipOldRecords;
     private long nextOffset;
 
     private DemandExchange(
@@ -90,7 +90,7 @@
             RecordRelay relay,
             DemandTracker demandTracker,
             Supplier<CompletableFuture<DemandTracker.DemandCounts>> demandCounts) {
-        Objects.requireNonNull(demandCounts, "meter is null");
+        Objects.requireNonNull(demandCounts, "demandCounts is null");
         DemandExchange exchange =
                 new DemandExchange(
                         process, topics, part, control, lease, relay, demandTracker, demandCounts);
@@ -102,14 +102,14 @@
 
     private void handleLogRestored() {
         nextOffset = 0;
-        skipHistory = true;
+        mustSkipOldRecords = true;
     }
 
     private void tick() {
         demandCounts.get().thenAccept(demand -> control.post(() -> handleOwnCounts(demand)));
         if (lease.holds() && !reading) {
             reading = true;
-            skipHistory = true;
+            mustSkipOldRecords = true;
             read();
         }
     }
@@ -120,7 +120,7 @@
             urgent.clear();
             patient.clear();
             demandTracker.add(process, counts, nowMillis);
-            appendHistory(nowMillis);
+            appendRequestedModels(nowMillis);
             return;
         }
         counts.urgent().forEach((need, count) -> urgent.merge(need, count, Integer::sum));
@@ -140,13 +140,14 @@
         }
     }
 
-    private void appendHistory(long nowMillis) {
+    private void appendRequestedModels(long nowMillis) {
         DemandTracker.DemandCounts requested = demandTracker.everRequested();
         boolean isEmpty = requested.urgent().isEmpty() && requested.patient().isEmpty();
-        if (isEmpty || nowMillis - historyAppendedAtMillis < HISTORY_INTERVAL_MILLIS) {
+        if (isEmpty
+                || nowMillis - requestedModelsAppendedAtMillis < REQUESTED_MODELS_INTERVAL_MILLIS) {
             return;
         }
-        historyAppendedAtMillis = nowMillis;
+        requestedModelsAppendedAtMillis = nowMillis;
         append(DutyRecords.encode(new DutyRecords.DemandRecord(process, requested)));
     }
 
@@ -177,7 +178,7 @@
     }
 
     private void read() {
-        topics.read(part, nextOffset, skipHistory ? 0 : READ_WAIT_MILLIS)
+        topics.read(part, nextOffset, mustSkipOldRecords ? 0 : READ_WAIT_MILLIS)
                 .thenAccept(answer -> control.post(() -> handleReadAnswer(answer)));
     }
 
@@ -197,7 +198,7 @@
     }
 
     private void handleBatch(RecordBatch batch) {
-        if (skipHistory) {
+        if (mustSkipOldRecords) {
             // Old counts must not be added to current demand; they only show which models were
             // ever requested.
             batch.records().stream()
@@ -206,7 +207,7 @@
                             record ->
                                     demandTracker.restore(
                                             record.counts(), ControlThread.nowMillis()));
-            skipHistory = false;
+            mustSkipOldRecords = false;
             nextOffset = batch.end();
             read();
             return;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/HoldingsExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/HoldingsExchange.java
@@ -22,7 +22,7 @@
  * registry. Used on the control thread only.
  */
 final class HoldingsExchange {
-    /** Bounds the delay until a daemon returns to the registry after the holder stops sending. */
+    /** How often a daemon checks whether the holder still sends; if not, it uses the registry. */
     private static final long CHECK_INTERVAL_MILLIS = 100;
 
     private final TopicPart part;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
@@ -28,7 +28,7 @@
 
     /**
      * The read interval while the holder relays its records: longer than the interval between two
-     * renewals plus the time that a slow store takes to append one.
+     * renewals, with a margin for the time that a slow store takes to append one.
      */
     private static final long RELAYED_READ_INTERVAL_MILLIS = 900;
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/Followers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/Followers.java
@@ -74,12 +74,12 @@
      * Sends a batch that can be read from the store as well. A follower for which there is no
      * capacity receives a notice without the records instead.
      */
-    void sendIfRoom(TopicPart part, RecordBatch batch, long wholeAtMillis) {
+    void sendWithinLimits(TopicPart part, RecordBatch batch, long wholeAtMillis) {
         Outgoing outgoing = new Outgoing(part, batch, wholeAtMillis);
         budget = budget.advanceTo(ControlThread.nowMillis());
         boolean fits = budget.fits(outgoing.bytes(), byConnection.size());
         long maximumQueuedBytes = limits.maximumQueuedBytes(byConnection.size()) - outgoing.bytes();
-        Map<Boolean, List<Follower>> byRoom =
+        Map<Boolean, List<Follower>> byCapacity =
                 byConnection.values().stream()
                         .collect(
                                 Collectors.partitioningBy(
@@ -88,9 +88,9 @@
                                                         || fits
                                                                 && follower.queuedBytes()
                                                                         <= maximumQueuedBytes));
-        byRoom.get(true).forEach(follower -> send(follower, outgoing));
-        byRoom.get(false).forEach(follower -> send(follower, outgoing.notice()));
-        recordNotices(outgoing, byRoom.get(false).size());
+        byCapacity.get(true).forEach(follower -> send(follower, outgoing));
+        byCapacity.get(false).forEach(follower -> send(follower, outgoing.notice()));
+        recordNotices(outgoing, byCapacity.get(false).size());
     }
 
     private void recordNotices(Outgoing outgoing, int noticeReceivers) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
@@ -50,8 +50,9 @@
     private static final long RETRY_MILLIS = 700;
 
     /**
-     * Small reads, as records have a few hundred bytes. A connection whose send queue exceeds the
-     * limit is closed, since a daemon that stops receiving does better to read the store.
+     * The format of connections between daemons. Reads are small since a record has a few hundred
+     * bytes. A connection whose send queue exceeds the limit is closed, since a daemon that stops
+     * receiving does better to read the store.
      */
     private static final XnioFrameTransport.Format FORMAT =
             new XnioFrameTransport.Format(
@@ -81,7 +82,7 @@
     private volatile Optional<Link> link = Optional.empty();
     private Optional<FrameTransport> transport = Optional.empty();
     private Optional<Contact> contact = Optional.empty();
-    private Optional<Contact> refusingHolder = Optional.empty();
+    private Optional<Contact> rejectedHolder = Optional.empty();
     private long nextConnectMillis;
 
     /** Receives the records that the holder reads, on the control thread. */
@@ -208,8 +209,9 @@
     /**
      * Updates the holder of the lease, and connects to it if it is another daemon.
      *
-     * @param holdsLease whether it holds
-     * @param otherHolder where another holder is reached
+     * @param holdsLease whether this daemon holds the lease
+     * @param otherHolder the contact of another holder; empty when there is none, or it can't be
+     *     reached
      */
     public void updateHolder(boolean holdsLease, Optional<Contact> otherHolder) {
         if (holding && !holdsLease) {
@@ -227,7 +229,7 @@
             // A holder that did not prove the secret is another process at the same address, for
             // example after all daemons were restarted. Repeated attempts would cost both processes
             // processor time that their callers need.
-            wanted.filter(holder -> !refusingHolder.equals(Optional.of(holder)))
+            wanted.filter(holder -> !rejectedHolder.equals(Optional.of(holder)))
                     .ifPresent(this::connect);
         }
     }
@@ -279,7 +281,7 @@
      */
     public void publish(TopicPart part, RecordBatch batch, long wholeAtMillis) {
         if (holding) {
-            followers.sendIfRoom(part, batch, wholeAtMillis);
+            followers.sendWithinLimits(part, batch, wholeAtMillis);
         }
     }
 
@@ -435,7 +437,7 @@
             control.post(
                     () -> {
                         if (failure.code() == ErrorCode.PEER_REFUSED) {
-                            refusingHolder = Optional.of(contact);
+                            rejectedHolder = Optional.of(contact);
                         }
                         handleLoss(failure.code().toString());
                     });
--- a/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/copies/DutyRecordsTest.java
@@ -100,12 +100,12 @@
         @Test
         void shouldDistinguishNoModelsFromUnknownModels() {
             DutyRecords.Holding empty = new DutyRecords.Holding(engine, Optional.of(Map.of()));
-            DutyRecords.Holding unsure = new DutyRecords.Holding(engine, Optional.empty());
+            DutyRecords.Holding unknown = new DutyRecords.Holding(engine, Optional.empty());
 
             assertThat(DutyRecords.decodeHolding(DutyRecords.encode(empty)))
                     .isEqualTo(Optional.of(empty));
-            assertThat(DutyRecords.decodeHolding(DutyRecords.encode(unsure)))
-                    .isEqualTo(Optional.of(unsure));
+            assertThat(DutyRecords.decodeHolding(DutyRecords.encode(unknown)))
+                    .isEqualTo(Optional.of(unknown));
         }
 
         // Guards against one unreadable record that prevents the others of its message from being
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/FollowersTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/FollowersTest.java
@@ -73,7 +73,7 @@
     }
 
     private void sendBatch(long from, int bytes) {
-        followers.sendIfRoom(
+        followers.sendWithinLimits(
                 PART,
                 new RecordBatch(from, List.of(new byte[bytes]), from + 1),
                 ControlThread.nowMillis());
@@ -92,17 +92,17 @@
     @Test
     void shouldLimitTheTotalBytesInTransit() {
         List<RecordingConnection> all = followers(320);
-        long beganMillis = ControlThread.nowMillis();
+        long startMillis = ControlThread.nowMillis();
 
         for (int batch = 0; batch < 50; batch++) {
             sendBatch(batch, 500);
         }
 
-        long tookMillis = ControlThread.nowMillis() - beganMillis;
-        long passedOnBytes = all.stream().mapToLong(RecordingConnection::recordBytes).sum();
-        assertThat(passedOnBytes).isGreaterThan(0);
-        assertThat(passedOnBytes)
-                .isAtMost(BYTES_IN_200_MILLIS + tookMillis * BYTES_IN_200_MILLIS / 400);
+        long elapsedMillis = ControlThread.nowMillis() - startMillis;
+        long sentBytes = all.stream().mapToLong(RecordingConnection::recordBytes).sum();
+        assertThat(sentBytes).isGreaterThan(0);
+        assertThat(sentBytes)
+                .isAtMost(BYTES_IN_200_MILLIS + elapsedMillis * BYTES_IN_200_MILLIS / 400);
         all.forEach(follower -> assertThat(follower.sent).hasSize(50));
     }
 
@@ -131,7 +131,7 @@
         ofLargeHost.recordClockReading(follower, new Message.ClockReading(0));
         int bytes = (int) RelayLimits.MAXIMUM_CONNECTION_BYTES;
 
-        ofLargeHost.sendIfRoom(PART, new RecordBatch(0, List.of(new byte[bytes]), 1), 0);
+        ofLargeHost.sendWithinLimits(PART, new RecordBatch(0, List.of(new byte[bytes]), 1), 0);
 
         assertThat(follower.sent.get(0).records()).isEmpty();
         assertThat(follower.sent.get(0).from()).isEqualTo(1);
@@ -143,7 +143,7 @@
         stuck.queuedBytes = BYTES_IN_200_MILLIS;
         long nowMillis = ControlThread.nowMillis();
 
-        followers.sendIfRoom(PART, new RecordBatch(7, List.of(), 7), nowMillis);
+        followers.sendWithinLimits(PART, new RecordBatch(7, List.of(), 7), nowMillis);
 
         assertThat(stuck.sent.get(0).wholeAtMillis()).isGreaterThan(0);
         assertThat(followers.noticeCount()).isEqualTo(0);
--- a/daemon/src/test/java/org/tamaracktrack/daemon/relay/RelayPair.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/relay/RelayPair.java
@@ -83,14 +83,14 @@
                 throw new AssertionError(
                         "condition not met within " + AWAIT_TIMEOUT_MILLIS + " ms");
             }
-            CompletableFuture<Void> polled = new CompletableFuture<>();
+            CompletableFuture<Void> evaluated = new CompletableFuture<>();
             control.after(
                     POLL_INTERVAL_MILLIS,
                     () -> {
                         holds[0] = condition.getAsBoolean();
-                        polled.complete(null);
+                        evaluated.complete(null);
                     });
-            polled.join();
+            evaluated.join();
         }
     }
 
