--- a/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/load/PeerDirectory.java
@@ -99,7 +99,7 @@
     }
 
     private void registerListeners() {
-        relay.onTold(part, this::receiveReport);
+        relay.onFollowerRecord(part, this::receiveReport);
         relay.onRecords(part, new HolderReader());
         relay.onFollower(() -> followerJoined = true);
     }
@@ -127,7 +127,7 @@
         if (!relay.holding()) {
             lastReportAtMillis.clear();
             published = Set.of();
-            relay.tell(part, PeerRecord.encode(Set.of(self)));
+            relay.sendToHolder(part, PeerRecord.encode(Set.of(self)));
             return;
         }
         long nowMillis = ControlThread.nowMillis();
--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/KeyedFollowerTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/KeyedFollowerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.tamaracktrack.core.knowledge.DualTimestamp;
 import org.tamaracktrack.core.knowledge.StalenessBound;
-import org.tamaracktrack.daemon.relay.MemoryLog;
+import org.tamaracktrack.daemon.relay.InMemoryTopicClient;
 import org.tamaracktrack.daemon.relay.RecordRelay;
 import org.tamaracktrack.daemon.relay.RelayLimits;
 import org.tamaracktrack.daemon.relay.RelayPair;
@@ -33,7 +33,7 @@
     /** Takes 0.8 s to transfer over the link. */
     private static final String LARGE_RECORD = "large\n" + "x".repeat(100_000);
 
-    private final MemoryLog log = new MemoryLog();
+    private final InMemoryTopicClient log = new InMemoryTopicClient();
     private final List<String> receivedKeys = new ArrayList<>();
     private final List<String> availabilityEvents = new ArrayList<>();
     private final List<Long> availableAtMillis = new ArrayList<>();
@@ -116,11 +116,11 @@
 
     /** Connects the follower to the holder; a read that was started before still waits. */
     private void connectToHolder() {
-        pair.hold();
+        pair.grantLease();
         pair.await(
                 () -> {
                     pair.holder().publish(PART, log.batch(0));
-                    return pair.follower().tell(PART, new byte[0]);
+                    return pair.follower().sendToHolder(PART, new byte[0]);
                 });
     }
 
@@ -224,7 +224,7 @@
     void shouldReadTheStoreAtOnceWhenTheHolderIsLost() {
         followHolder();
         int readsBefore = log.reads();
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
 
         pair.await(() -> log.reads() > readsBefore);
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/load/PeerDirectoryTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/load/PeerDirectoryTest.java
@@ -54,7 +54,7 @@
     }
 
     private void connectDaemons() {
-        pair.hold();
+        pair.grantLease();
         pair.await(
                 () -> {
                     publishEmptyBatch();
@@ -81,7 +81,7 @@
     void shouldKeepPeersWhenHolderIsLost() {
         connectDaemons();
 
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
 
         pair.await(() -> !pair.follower().connected());
         assertThat(otherListener.peers).containsExactly(HOLDER);
@@ -113,7 +113,7 @@
     void shouldNotReportListWhenHolderIsLost() {
         connectDaemons();
 
-        pair.onControl(() -> pair.holder().holder(false, Optional.empty()));
+        pair.onControl(() -> pair.holder().updateHolder(false, Optional.empty()));
         pair.await(() -> !pair.follower().connected());
         int countBefore = otherListener.listCount;
         pair.onControl(() -> {});
