--- a/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
@@ -15,7 +15,7 @@
 import org.tamaracktrack.daemon.configuration.ConfigurationMetrics;
 import org.tamaracktrack.daemon.configuration.ConfigurationSnapshotter;
 import org.tamaracktrack.daemon.configuration.FollowedConfiguration;
-import org.tamaracktrack.daemon.configuration.PeerAsker;
+import org.tamaracktrack.daemon.configuration.PeerConfigurationFetcher;
 import org.tamaracktrack.daemon.entry.EntryRole;
 import org.tamaracktrack.daemon.operations.HttpFront;
 import org.tamaracktrack.daemon.operations.OperationsHandler;
@@ -61,7 +61,8 @@
         DaemonRuntime runtime =
                 runtime(settings.settings(), incarnation, control, http, log, configuration);
         ConfigurationMetrics.register(configuration, runtime.metrics());
-        PeerAsker.start(configuration, runtime.transport(), control, settings.settings().peers());
+        PeerConfigurationFetcher.start(
+                configuration, runtime.transport(), control, settings.settings().peers());
         if (settings.settings().role() == Settings.Role.ENTRY) {
             EntryRole entry = EntryRole.start(runtime, settings.routing(), settings.placement());
             ConfigurationSnapshotter.start(
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationEventLog.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationEventLog.java
@@ -3,7 +3,7 @@
 import org.jboss.logging.Logger;
 import org.tamaracktrack.core.config.ConfigurationEvent;
 
-/** Writes one line for each change of the configuration's state. */
+/** Writes one log line for each change of the configuration's state. */
 final class ConfigurationEventLog {
     private ConfigurationEventLog() {}
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationAnswers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationMessageHandler.java
@@ -4,31 +4,34 @@
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.link.frame.Connection;
 
-/** What every daemon does with messages about the configuration, whoever they come from. */
-public final class ConfigurationAnswers {
+/** Handles the configuration messages that daemons of either role exchange with each other. */
+public final class ConfigurationMessageHandler {
     private final ConfigurationSource configuration;
 
-    private ConfigurationAnswers(ConfigurationSource configuration) {
+    private ConfigurationMessageHandler(ConfigurationSource configuration) {
         this.configuration = configuration;
     }
 
     /**
-     * Returns the answers of a daemon.
+     * Returns a handler for a daemon.
      *
-     * @param configuration its configuration
-     * @return the answers
+     * @param configuration the configuration of this daemon
+     * @return the handler
      */
-    public static ConfigurationAnswers of(ConfigurationSource configuration) {
+    public static ConfigurationMessageHandler of(ConfigurationSource configuration) {
         Objects.requireNonNull(configuration, "configuration is null");
-        return new ConfigurationAnswers(configuration);
+        return new ConfigurationMessageHandler(configuration);
     }
 
     /**
-     * Handles a message if it concerns the configuration. For any thread.
+     * Handles a message if it concerns the configuration. A {@code Hello} that names a newer
+     * version leads to a query, and is left for the caller to handle as well. May be called on any
+     * thread.
      *
-     * @param connection where it came from
+     * @param connection the connection to the peer on which the message arrived
      * @param message the message
-     * @return true when it concerns nothing else
+     * @return true when the message concerns only the configuration, so that the caller need not
+     *     handle it
      */
     public boolean handle(Connection connection, Message message) {
         if (message instanceof Message.ConfigurationQuery query) {
@@ -47,9 +50,9 @@
     }
 
     /**
-     * Asks the other end for a newer configuration.
+     * Requests a configuration newer than the version in force from the peer.
      *
-     * @param connection the connection
+     * @param connection the connection to the peer
      */
     public void query(Connection connection) {
         connection.send(new Message.ConfigurationQuery(configuration.version()));
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationMetrics.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationMetrics.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import org.tamaracktrack.core.config.ConfigurationEvent;
 
-/** Meters of the configuration followed. */
+/** Registers the metrics of the configuration that a daemon follows. */
 public final class ConfigurationMetrics {
     private static final String EVENTS = "tamaracktrack.configuration.events";
     private static final String BREACHES = "tamaracktrack.configuration.invariant.breaches";
@@ -17,8 +17,8 @@
      * Registers the meters: the version in force, whether it was read from the log, whether the log
      * is followed, and counters of events and breaches.
      *
-     * @param configuration the configuration followed
-     * @param meters where to register
+     * @param configuration the configuration that the metrics describe
+     * @param meters the registry
      */
     public static void register(FollowedConfiguration configuration, MeterRegistry meters) {
         Objects.requireNonNull(configuration, "configuration is null");
@@ -41,7 +41,7 @@
                         followed -> followed.status().following() ? 1 : 0)
                 .description("1 when every record of the stream has been read")
                 .register(meters);
-        configuration.listenToEvents(event -> count(meters, event));
+        configuration.addEventListener(event -> count(meters, event));
     }
 
     private static void count(MeterRegistry meters, ConfigurationEvent event) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationSnapshotter.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationSnapshotter.java
@@ -20,15 +20,15 @@
     private static final Logger LOG = Logger.getLogger(ConfigurationSnapshotter.class);
     private static final long MAXIMUM_AGE_MILLIS = 10 * 60_000;
     private static final int MAXIMUM_RECORDS = 16;
-    private static final long TICK_MILLIS = 1_000;
-    private static final long RETRY_MILLIS = 10_000;
+    private static final long CHECK_PERIOD_MILLIS = 1_000;
+    private static final long ATTEMPT_INTERVAL_MILLIS = 10_000;
 
     private final FollowedConfiguration configuration;
     private final LogClient log;
     private final BooleanSupplier holdsDuty;
     private final SnapshotPolicy policy;
     private final ExecutorService writer;
-    private long waitUntilMillis;
+    private long nextAttemptMillis;
 
     private ConfigurationSnapshotter(
             FollowedConfiguration configuration, LogClient log, BooleanSupplier holdsDuty) {
@@ -37,7 +37,7 @@
         this.holdsDuty = holdsDuty;
         this.policy =
                 SnapshotPolicy.of(MAXIMUM_AGE_MILLIS, MAXIMUM_RECORDS, ControlThread.nowMillis());
-        this.waitUntilMillis = ControlThread.nowMillis();
+        this.nextAttemptMillis = ControlThread.nowMillis();
         this.writer =
                 Executors.newSingleThreadExecutor(
                         task -> {
@@ -48,12 +48,14 @@
     }
 
     /**
-     * Starts to watch the configuration stream.
+     * Starts a snapshotter. It checks once per second whether a snapshot is due, on the control
+     * thread, and appends on a thread of its own.
      *
-     * @param configuration the configuration followed
-     * @param log the log
+     * @param configuration the configuration that snapshots are taken of
+     * @param log the log to append to
      * @param control the control thread
-     * @param holdsDuty whether this daemon holds the duty; asked on the control thread
+     * @param holdsDuty whether this daemon holds the duty of writing snapshots; called on the
+     *     control thread
      * @return the snapshotter
      */
     public static ConfigurationSnapshotter start(
@@ -66,40 +68,41 @@
         Objects.requireNonNull(holdsDuty, "holdsDuty is null");
         ConfigurationSnapshotter snapshotter =
                 new ConfigurationSnapshotter(configuration, log, holdsDuty);
-        configuration.listenToEvents(snapshotter::onEvent);
-        control.every(TICK_MILLIS, snapshotter::tick);
+        configuration.addEventListener(snapshotter::onEvent);
+        control.every(CHECK_PERIOD_MILLIS, snapshotter::appendIfDue);
         return snapshotter;
     }
 
     private void onEvent(ConfigurationEvent event) {
         if (event instanceof ConfigurationEvent.SnapshotAgrees agrees) {
-            seen(agrees.record());
+            handleSnapshot(agrees.record());
         } else if (event instanceof ConfigurationEvent.SnapshotTaken taken) {
-            seen(taken.record());
+            handleSnapshot(taken.record());
         }
     }
 
-    private void seen(LogRecord record) {
+    private void handleSnapshot(LogRecord record) {
         if (record.entry() instanceof LogEntry.ConfigurationSnapshot snapshot) {
             policy.handleSnapshot(
                     snapshot.upTo(), configuration.status().following(), ControlThread.nowMillis());
         }
     }
 
-    private void tick() {
+    private void appendIfDue() {
         long nowMillis = ControlThread.nowMillis();
         FollowedConfiguration.Status status = configuration.status();
         if (!status.following()
-                || nowMillis < waitUntilMillis
+                || nowMillis < nextAttemptMillis
                 || !policy.isDue(status.nextOffset(), holdsDuty.getAsBoolean(), nowMillis)) {
             return;
         }
-        waitUntilMillis = nowMillis + RETRY_MILLIS;
+        nextAttemptMillis = nowMillis + ATTEMPT_INTERVAL_MILLIS;
         configuration.snapshot().ifPresent(snapshot -> writer.execute(() -> append(snapshot)));
     }
 
-    // Whether the append took effect does not matter here: if it did, it is read back and puts the
-    // next one off; if not, the next tick after the wait tries again; twice is harmless.
+    // The outcome of the append is not evaluated. A snapshot that was written is read back from the
+    // log and resets the policy; otherwise another attempt follows after ATTEMPT_INTERVAL_MILLIS. A
+    // second copy of a snapshot does no harm.
     private void append(ConfigurationSnapshot snapshot) {
         try {
             log.append(LogStream.CONFIGURATION, snapshot);
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationSource.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationSource.java
@@ -4,38 +4,40 @@
 import java.util.function.Consumer;
 import org.tamaracktrack.core.config.Configuration;
 
-/** The configuration in force. It never goes back to an older version. */
+/** Provides the configuration in force. Its version never decreases. */
 public interface ConfigurationSource {
 
     /**
-     * Returns the configuration in force. For any thread.
+     * Returns the configuration in force. May be called on any thread.
      *
      * @return the configuration; empty while there is none yet
      */
-    Optional<Versioned> current();
+    Optional<VersionedConfiguration> current();
 
     /**
-     * Returns the version in force, as daemons name it to each other. For any thread.
+     * Returns the version in force, in the form used in messages between daemons. May be called on
+     * any thread.
      *
      * @return the version; -1 while there is none yet
      */
     default long version() {
-        return current().map(Versioned::version).orElse(-1L);
+        return current().map(VersionedConfiguration::version).orElse(-1L);
     }
 
     /**
-     * Hears of each newer configuration, on the control thread; at once if there is one.
+     * Adds a listener that is called on the control thread with each newer configuration, and first
+     * with the one in force, if there is one.
      *
      * @param listener the listener
      */
-    void listen(Consumer<Versioned> listener);
+    void addListener(Consumer<VersionedConfiguration> listener);
 
     /**
-     * Takes a configuration that a peer offers, if it is newer than the one in force. For any
-     * thread.
+     * Applies a configuration offered by a peer if it is newer than the one in force. May be called
+     * on any thread.
      *
-     * @param version its version
-     * @param document its document
+     * @param version the version of the offered configuration
+     * @param document the offered document, in JSON
      */
     void offer(long version, String document);
 
@@ -46,5 +48,5 @@
      * @param document the document as published, in JSON
      * @param configuration the document with its templates expanded
      */
-    record Versioned(long version, String document, Configuration configuration) {}
+    record VersionedConfiguration(long version, String document, Configuration configuration) {}
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/FollowedConfiguration.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/FollowedConfiguration.java
@@ -17,26 +17,31 @@
 import org.tamaracktrack.link.codec.Documents;
 import org.tamaracktrack.link.log.LogClient;
 
-/** The configuration in force, followed from the log, and from peers while the log is out. */
+/**
+ * Keeps the configuration in force up to date from the log, and from peers while the log is
+ * unavailable.
+ */
 public final class FollowedConfiguration implements ConfigurationSource, AutoCloseable {
     private static final Logger LOG = Logger.getLogger(FollowedConfiguration.class);
 
     private final ControlThread control;
     private final ConfigurationRegister register;
-    private final List<Consumer<Versioned>> listeners = new ArrayList<>();
+    private final List<Consumer<VersionedConfiguration>> listeners = new ArrayList<>();
     private final List<Consumer<ConfigurationEvent>> eventListeners = new ArrayList<>();
     private LogFollower follower;
-    private volatile Optional<Versioned> current = Optional.empty();
+    private volatile Optional<VersionedConfiguration> current = Optional.empty();
     private volatile Status status = new Status(-1, false, false, false, 0);
 
     /**
-     * How this daemon stands to the configuration stream.
+     * The state of this daemon with respect to the configuration stream.
      *
      * @param version the version in force, -1 for none
-     * @param confirmed whether it was read from the log, and not only offered by a peer
-     * @param following whether every record there was has been read, and the log could be read last
-     * @param awaitsSnapshot whether records expired unread, so that a snapshot is needed
-     * @param nextOffset the offset of the next record
+     * @param confirmed whether that version was read from the log, and not only offered by a peer
+     * @param following whether the latest read of the log succeeded and every record that it held
+     *     has been read
+     * @param awaitsSnapshot whether records expired before they were read, so that a snapshot is
+     *     needed
+     * @param nextOffset the offset of the next record to read
      */
     public record Status(
             long version,
@@ -51,10 +56,10 @@
     }
 
     /**
-     * Starts to follow the configuration.
+     * Starts to follow the configuration stream of the log. No version is in force at first.
      *
-     * @param log the log
-     * @param control the control thread
+     * @param log the log to read from
+     * @param control the control thread, which owns the state
      * @return the configuration
      */
     public static FollowedConfiguration start(LogClient log, ControlThread control) {
@@ -62,17 +67,18 @@
         Objects.requireNonNull(control, "control is null");
         FollowedConfiguration followed = new FollowedConfiguration(control);
         followed.follower =
-                LogFollower.start(log, LogStream.CONFIGURATION, control, followed.new Reader());
+                LogFollower.start(
+                        log, LogStream.CONFIGURATION, control, followed.new StreamListener());
         return followed;
     }
 
     @Override
-    public Optional<Versioned> current() {
+    public Optional<VersionedConfiguration> current() {
         return current;
     }
 
     /**
-     * Returns how this daemon stands to the configuration stream. For any thread.
+     * Returns the state with respect to the configuration stream. May be called on any thread.
      *
      * @return the status
      */
@@ -81,7 +87,7 @@
     }
 
     @Override
-    public void listen(Consumer<Versioned> listener) {
+    public void addListener(Consumer<VersionedConfiguration> listener) {
         Objects.requireNonNull(listener, "listener is null");
         control.post(
                 () -> {
@@ -91,11 +97,12 @@
     }
 
     /**
-     * Hears of what each record, offer and gap came to, on the control thread.
+     * Adds a listener that is called on the control thread with the outcome of each record, offer
+     * and gap.
      *
      * @param listener the listener
      */
-    public void listenToEvents(Consumer<ConfigurationEvent> listener) {
+    public void addEventListener(Consumer<ConfigurationEvent> listener) {
         Objects.requireNonNull(listener, "listener is null");
         control.post(() -> eventListeners.add(listener));
     }
@@ -103,7 +110,7 @@
     @Override
     public void offer(long version, String document) {
         Objects.requireNonNull(document, "document is null");
-        control.post(() -> apply(register.handleOffer(version, document)));
+        control.post(() -> applyEvents(register.handleOffer(version, document)));
     }
 
     /**
@@ -115,7 +122,7 @@
         return register.snapshot();
     }
 
-    private void apply(List<ConfigurationEvent> events) {
+    private void applyEvents(List<ConfigurationEvent> events) {
         Optional<ConfigurationInForce> inForce = register.inForce();
         status =
                 new Status(
@@ -124,21 +131,23 @@
                         register.isFollowing(),
                         register.awaitsSnapshot(),
                         register.nextOffset());
-        Optional<Versioned> before = current;
-        current = inForce.map(FollowedConfiguration::versioned);
-        events.forEach(this::announce);
-        if (!before.map(Versioned::version).equals(current.map(Versioned::version))) {
-            current.ifPresent(now -> listeners.forEach(listener -> listener.accept(now)));
+        Optional<VersionedConfiguration> previous = current;
+        current = inForce.map(FollowedConfiguration::toVersionedConfiguration);
+        events.forEach(this::publishEvent);
+        if (!previous.map(VersionedConfiguration::version)
+                .equals(current.map(VersionedConfiguration::version))) {
+            current.ifPresent(newest -> listeners.forEach(listener -> listener.accept(newest)));
         }
     }
 
-    private void announce(ConfigurationEvent event) {
+    private void publishEvent(ConfigurationEvent event) {
         ConfigurationEventLog.write(LOG, event);
         eventListeners.forEach(listener -> listener.accept(event));
     }
 
-    private static Versioned versioned(ConfigurationInForce inForce) {
-        return new Versioned(inForce.version(), inForce.document(), inForce.configuration());
+    private static VersionedConfiguration toVersionedConfiguration(ConfigurationInForce inForce) {
+        return new VersionedConfiguration(
+                inForce.version(), inForce.document(), inForce.configuration());
     }
 
     @Override
@@ -146,10 +155,10 @@
         follower.close();
     }
 
-    private final class Reader implements LogFollower.Listener {
+    private final class StreamListener implements LogFollower.Listener {
         @Override
         public void onRecord(LogRecord record) {
-            apply(register.handle(record));
+            applyEvents(register.handle(record));
         }
 
         @Override
@@ -159,12 +168,12 @@
 
         @Override
         public void onGap(long firstOffset) {
-            apply(register.handleGap(firstOffset));
+            applyEvents(register.handleGap(firstOffset));
         }
 
         @Override
         public void onCaughtUp(long nextOffset) {
-            apply(register.handleEndOfLog(nextOffset));
+            applyEvents(register.handleEndOfLog(nextOffset));
         }
 
         @Override
@@ -172,7 +181,7 @@
             if (!reachable) {
                 register.handleLogUnreachable();
             }
-            apply(List.of());
+            applyEvents(List.of());
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/PeerAsker.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/PeerConfigurationFetcher.java
@@ -14,19 +14,19 @@
 import org.tamaracktrack.link.frame.ConnectionHandler;
 import org.tamaracktrack.link.frame.FrameTransport;
 
-/** Asks other daemons for the configuration for as long as the log can't be followed. */
-public final class PeerAsker {
-    private static final Logger LOG = Logger.getLogger(PeerAsker.class);
-    private static final long ASK_MILLIS = 1_000;
+/** Requests the configuration from other daemons while the log can't be followed. */
+public final class PeerConfigurationFetcher {
+    private static final Logger LOG = Logger.getLogger(PeerConfigurationFetcher.class);
+    private static final long REQUEST_PERIOD_MILLIS = 1_000;
 
     private final FollowedConfiguration configuration;
     private final FrameTransport transport;
     private final ControlThread control;
     private final List<InetSocketAddress> peers;
-    private final ConfigurationAnswers answers;
+    private final ConfigurationMessageHandler messageHandler;
     private final Map<InetSocketAddress, Optional<Connection>> connections = new HashMap<>();
 
-    private PeerAsker(
+    private PeerConfigurationFetcher(
             FollowedConfiguration configuration,
             FrameTransport transport,
             ControlThread control,
@@ -35,19 +35,20 @@
         this.transport = transport;
         this.control = control;
         this.peers = List.copyOf(peers);
-        this.answers = ConfigurationAnswers.of(configuration);
+        this.messageHandler = ConfigurationMessageHandler.of(configuration);
     }
 
     /**
-     * Starts to ask whenever the log can't be followed.
+     * Starts a fetcher. While the log can't be followed, it sends a request to each peer once per
+     * second.
      *
-     * @param configuration the configuration followed; it takes what the peers offer
-     * @param transport connections to daemons
+     * @param configuration the configuration to which the offers of peers are applied
+     * @param transport opens connections to daemons
      * @param control the control thread
-     * @param peers the daemons to ask
-     * @return the asker
+     * @param peers the addresses of the daemons to request from; none for no requests
+     * @return the fetcher
      */
-    public static PeerAsker start(
+    public static PeerConfigurationFetcher start(
             FollowedConfiguration configuration,
             FrameTransport transport,
             ControlThread control,
@@ -55,50 +56,51 @@
         Objects.requireNonNull(configuration, "configuration is null");
         Objects.requireNonNull(transport, "transport is null");
         Objects.requireNonNull(control, "control is null");
-        PeerAsker asker = new PeerAsker(configuration, transport, control, peers);
+        PeerConfigurationFetcher fetcher =
+                new PeerConfigurationFetcher(configuration, transport, control, peers);
         if (!peers.isEmpty()) {
-            control.every(ASK_MILLIS, asker::tick);
+            control.every(REQUEST_PERIOD_MILLIS, fetcher::requestUnlessFollowing);
         }
-        return asker;
+        return fetcher;
     }
 
-    // Peers are asked again and again: the first to answer may itself be behind, and each higher
-    // version replaces the one before.
-    private void tick() {
+    // Requests go to every peer and are repeated, because the first peer to respond may itself have
+    // an old version. Each newer version replaces the one before.
+    private void requestUnlessFollowing() {
         if (configuration.status().following()) {
             connections.values().forEach(open -> open.ifPresent(Connection::close));
             connections.clear();
             return;
         }
-        peers.forEach(this::ask);
+        peers.forEach(this::requestFrom);
     }
 
-    private void ask(InetSocketAddress peer) {
+    private void requestFrom(InetSocketAddress peer) {
         Optional<Connection> connection = connections.get(peer);
         if (connection == null) {
             connections.put(peer, Optional.empty());
-            transport.connect(peer, new AnswerHandler(peer));
+            transport.connect(peer, new PeerConnectionHandler(peer));
         } else {
-            connection.ifPresent(answers::query);
+            connection.ifPresent(messageHandler::query);
         }
     }
 
-    private final class AnswerHandler implements ConnectionHandler {
+    private final class PeerConnectionHandler implements ConnectionHandler {
         private final InetSocketAddress peer;
 
-        private AnswerHandler(InetSocketAddress peer) {
+        private PeerConnectionHandler(InetSocketAddress peer) {
             this.peer = peer;
         }
 
         @Override
         public void onOpen(Connection connection) {
             control.post(() -> connections.put(peer, Optional.of(connection)));
-            answers.query(connection);
+            messageHandler.query(connection);
         }
 
         @Override
         public void onMessage(Connection connection, Message message) {
-            answers.handle(connection, message);
+            messageHandler.handle(connection, message);
         }
 
         @Override
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Which configuration is in force in this process, and where it came from. */
+/** Determines which configuration is in force in this process, from the log and from peers. */
 package org.tamaracktrack.daemon.configuration;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/duty/PlannerDuty.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/duty/PlannerDuty.java
@@ -83,7 +83,8 @@
             return;
         }
         follower.start(this::begin);
-        Optional<ConfigurationSource.Versioned> configuration = runtime.configuration().current();
+        Optional<ConfigurationSource.VersionedConfiguration> configuration =
+                runtime.configuration().current();
         if (configuration.isPresent() && follower.caughtUp() && !awaitingReadBack()) {
             plan(term.getAsLong(), configuration.get());
         }
@@ -106,7 +107,7 @@
         return appending || unread && inTime;
     }
 
-    private void plan(long term, ConfigurationSource.Versioned configuration) {
+    private void plan(long term, ConfigurationSource.VersionedConfiguration configuration) {
         PlanningView view = view(configuration);
         observe(view);
         List<Placement> inForce =
@@ -139,7 +140,7 @@
                 new Outcome());
     }
 
-    private PlanningView view(ConfigurationSource.Versioned configuration) {
+    private PlanningView view(ConfigurationSource.VersionedConfiguration configuration) {
         Map<TargetId, TargetStatus> statuses =
                 targets.targets().entrySet().stream()
                         .collect(
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/ClaimService.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/ClaimService.java
@@ -57,7 +57,7 @@
                         ClaimRegister.UNKNOWN_WINDOW_MILLIS,
                         ControlThread.nowMillis());
         ClaimService service = new ClaimService(log, control, keeper);
-        configuration.listen(
+        configuration.addListener(
                 current -> keeper.window(current.configuration().idempotencyWindowMillis()));
         service.follower = LogFollower.start(log, LogStream.CLAIMS, control, service);
         control.every(IDLE_TICK_MILLIS, service::tick);
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryPeers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryPeers.java
@@ -5,7 +5,7 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.id.IncarnationId;
 import org.tamaracktrack.core.message.Message;
-import org.tamaracktrack.daemon.configuration.ConfigurationAnswers;
+import org.tamaracktrack.daemon.configuration.ConfigurationMessageHandler;
 import org.tamaracktrack.daemon.configuration.ConfigurationSource;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.frame.Connection;
@@ -17,7 +17,7 @@
  */
 final class EntryPeers implements ConnectionHandler {
     private final ConfigurationSource configuration;
-    private final ConfigurationAnswers answers;
+    private final ConfigurationMessageHandler answers;
     private final IncarnationId incarnation;
     private final ControlThread control;
     private final TargetDirectory targets;
@@ -28,7 +28,7 @@
             ControlThread control,
             TargetDirectory targets) {
         this.configuration = configuration;
-        this.answers = ConfigurationAnswers.of(configuration);
+        this.answers = ConfigurationMessageHandler.of(configuration);
         this.incarnation = incarnation;
         this.control = control;
         this.targets = targets;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
@@ -124,7 +124,7 @@
     private void follow() {
         ControlThread control = runtime.control();
         runtime.configuration()
-                .listen(current -> targets.table().configure(current.configuration()));
+                .addListener(current -> targets.table().configure(current.configuration()));
         LogFollower.start(
                 runtime.log(),
                 LogStream.OWNERSHIP,
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetPeers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/TargetPeers.java
@@ -9,7 +9,7 @@
 import org.tamaracktrack.core.id.IncarnationId;
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.message.Message;
-import org.tamaracktrack.daemon.configuration.ConfigurationAnswers;
+import org.tamaracktrack.daemon.configuration.ConfigurationMessageHandler;
 import org.tamaracktrack.daemon.configuration.ConfigurationSource;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.frame.Connection;
@@ -26,7 +26,7 @@
     private final ControlThread control;
     private final IncarnationId incarnation;
     private final ConfigurationSource configuration;
-    private final ConfigurationAnswers answers;
+    private final ConfigurationMessageHandler answers;
     private final EntryMetrics metrics;
     private TargetDirectory directory;
 
@@ -40,7 +40,7 @@
         this.control = control;
         this.incarnation = incarnation;
         this.configuration = configuration;
-        this.answers = ConfigurationAnswers.of(configuration);
+        this.answers = ConfigurationMessageHandler.of(configuration);
         this.metrics = metrics;
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/PeerHandler.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/PeerHandler.java
@@ -6,7 +6,7 @@
 import java.util.function.Supplier;
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.message.Message;
-import org.tamaracktrack.daemon.configuration.ConfigurationAnswers;
+import org.tamaracktrack.daemon.configuration.ConfigurationMessageHandler;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.frame.Connection;
 import org.tamaracktrack.link.frame.ConnectionHandler;
@@ -15,7 +15,7 @@
 final class PeerHandler implements ConnectionHandler {
     private final ControlThread control;
     private final Submissions submissions;
-    private final ConfigurationAnswers answers;
+    private final ConfigurationMessageHandler answers;
     private final Supplier<Message.Hello> hello;
     private final Supplier<Message.Load> load;
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
@@ -23,7 +23,7 @@
     private PeerHandler(
             ControlThread control,
             Submissions submissions,
-            ConfigurationAnswers answers,
+            ConfigurationMessageHandler answers,
             Supplier<Message.Hello> hello,
             Supplier<Message.Load> load) {
         this.control = control;
@@ -36,7 +36,7 @@
     static PeerHandler of(
             ControlThread control,
             Submissions submissions,
-            ConfigurationAnswers answers,
+            ConfigurationMessageHandler answers,
             Supplier<Message.Hello> hello,
             Supplier<Message.Load> load) {
         Objects.requireNonNull(submissions, "submissions is null");
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
@@ -24,7 +24,7 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.core.placement.PlanRegister;
-import org.tamaracktrack.daemon.configuration.ConfigurationAnswers;
+import org.tamaracktrack.daemon.configuration.ConfigurationMessageHandler;
 import org.tamaracktrack.daemon.configuration.ConfigurationSource;
 import org.tamaracktrack.daemon.counters.CounterPublisher;
 import org.tamaracktrack.daemon.counters.Counters;
@@ -79,7 +79,7 @@
                 PeerHandler.of(
                         runtime.control(),
                         submissions,
-                        ConfigurationAnswers.of(runtime.configuration()),
+                        ConfigurationMessageHandler.of(runtime.configuration()),
                         this::hello,
                         this::load);
         this.ownershipLog = OwnershipLog.of(runtime.log());
@@ -158,7 +158,7 @@
                                                                                 leaving))));
         meters.gauge("running", () -> submissions.admission().running());
         meters.gauge("waiting", () -> submissions.admission().queued());
-        runtime.configuration().listen(this::configure);
+        runtime.configuration().addListener(this::configure);
         runtime.control().every(TICK_MILLIS, this::tick);
     }
 
@@ -174,7 +174,7 @@
         return keeper.map(EngineKeeper::isOwner).orElse(ownsPlainService);
     }
 
-    private void configure(ConfigurationSource.Versioned inForce) {
+    private void configure(ConfigurationSource.VersionedConfiguration inForce) {
         Configuration configuration = inForce.configuration();
         Optional<Configuration.Target> now =
                 Optional.ofNullable(configuration.targets().get(target));
--- a/daemon/src/test/java/org/tamaracktrack/daemon/configuration/ExpiringLog.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/configuration/ExpiringLog.java
@@ -9,14 +9,14 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** The configuration stream in memory; it can be out, and its records can expire. */
+/** An in-memory configuration stream that can be made unavailable and whose records can expire. */
 final class ExpiringLog implements LogClient {
     private final List<LogRecord> records = new ArrayList<>();
     private long firstOffset;
-    private boolean out;
+    private boolean unavailable;
 
-    synchronized void setOut(boolean value) {
-        out = value;
+    synchronized void setUnavailable(boolean value) {
+        unavailable = value;
         notifyAll();
     }
 
@@ -54,8 +54,8 @@
     }
 
     private void checkReachable() {
-        if (out) {
-            throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "out");
+        if (unavailable) {
+            throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "the log is unavailable");
         }
     }
 }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/configuration/FollowedConfigurationTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/configuration/FollowedConfigurationTest.java
@@ -21,7 +21,7 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.core.message.Message;
-import org.tamaracktrack.daemon.configuration.ConfigurationSource.Versioned;
+import org.tamaracktrack.daemon.configuration.ConfigurationSource.VersionedConfiguration;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.codec.Documents;
 import org.tamaracktrack.link.frame.Connection;
@@ -33,9 +33,9 @@
 
     private final ExpiringLog log = new ExpiringLog();
     private final ControlThread control = ControlThread.of("control");
-    private final BlockingQueue<Versioned> versions = new LinkedBlockingQueue<>();
+    private final BlockingQueue<VersionedConfiguration> versions = new LinkedBlockingQueue<>();
     private final BlockingQueue<ConfigurationEvent> events = new LinkedBlockingQueue<>();
-    private FollowedConfiguration first;
+    private FollowedConfiguration followed;
     private String document;
 
     @BeforeEach
@@ -43,14 +43,14 @@
         String yaml = Files.readString(Path.of("../docs/sample-configuration.yaml"));
         document = Documents.canonicalJson(Documents.parseYaml(yaml));
         publish("p-0", -1, document);
-        first = follow();
-        first.listen(versions::add);
-        first.listenToEvents(events::add);
+        followed = follow();
+        followed.addListener(versions::add);
+        followed.addEventListener(events::add);
     }
 
     @AfterEach
     void stop() {
-        first.close();
+        followed.close();
         control.close();
     }
 
@@ -91,20 +91,21 @@
         assertThat(next(versions).version()).isEqualTo(0);
         publish("p-1", 0, changed(3));
 
-        Versioned newer = next(versions);
+        VersionedConfiguration newer = next(versions);
 
         assertThat(newer.version()).isEqualTo(1);
         assertThat(newer.configuration().moveCost()).isEqualTo(3.0);
     }
 
-    // Records expire while this daemon is cut off from the log. It goes on with what it had, does
-    // not judge what it can't, and takes the snapshot that another daemon wrote meanwhile.
+    // Records expire while this daemon can't read the log. It keeps the version that it had,
+    // because a publication can't be validated against records that are missing, and then applies
+    // the snapshot that another daemon wrote in the meantime.
     @Test
-    void shouldHoldAndThenTakeTheSnapshotWhenRecordsExpiredUnread() {
+    void shouldKeepTheVersionInForceUntilASnapshotIsReadWhenRecordsExpiredUnread() {
         assertThat(next(versions).version()).isEqualTo(0);
-        log.setOut(true);
+        log.setUnavailable(true);
         awaitFollowing(false);
-        log.setOut(false);
+        log.setUnavailable(false);
         synchronized (log) {
             publish("p-1", 0, changed(1));
             publish("p-2", 1, changed(2));
@@ -120,47 +121,48 @@
         assertThat(next(versions).version()).isEqualTo(2);
     }
 
-    private void awaitFollowing(boolean wanted) {
+    private void awaitFollowing(boolean expected) {
         BlockingQueue<Boolean> reached = new LinkedBlockingQueue<>();
         control.every(
                 5,
                 () -> {
-                    if (first.status().following() == wanted) {
+                    if (followed.status().following() == expected) {
                         reached.add(true);
                     }
                 });
         next(reached);
     }
 
-    // The log is out when a daemon starts. It is not ready until a peer has told it what is in
-    // force; a peer that is behind comes first, and its older version gives way to the newer one.
-    // Back in touch with the log, it goes on from there.
+    // The log is unavailable when a daemon starts, so it has no configuration until a peer offers
+    // one. The older version of an outdated peer is applied first and is replaced by the newer
+    // version of another peer. Once the log is available again, the daemon follows it.
     @Test
-    void shouldHearFromPeersWhenItStartsWhileTheLogIsOut() {
+    void shouldFetchTheConfigurationFromPeersWhenStartedWhileTheLogIsUnavailable() {
         publish("p-1", 0, changed(1));
         next(versions);
         next(versions);
-        log.setOut(true);
+        log.setUnavailable(true);
         try (XnioFrameTransport transport = XnioFrameTransport.of("secret")) {
-            InetSocketAddress behind = listen(transport, new Behind(document));
-            InetSocketAddress peer = listen(transport, new Answering(first));
-            ControlThread newControl = ControlThread.of("newcomer");
-            FollowedConfiguration newcomer = FollowedConfiguration.start(log, newControl);
-            assertThat(newcomer.current()).isEmpty();
-            BlockingQueue<Versioned> heard = new LinkedBlockingQueue<>();
-            newcomer.listen(heard::add);
-
-            PeerAsker.start(newcomer, transport, newControl, List.of(behind));
-            assertThat(next(heard).version()).isEqualTo(0);
-            PeerAsker.start(newcomer, transport, newControl, List.of(behind, peer));
-            assertThat(next(heard).version()).isEqualTo(1);
-            assertThat(newcomer.status().confirmed()).isFalse();
-
-            log.setOut(false);
+            InetSocketAddress outdatedPeer = listen(transport, new OutdatedPeer(document));
+            InetSocketAddress currentPeer = listen(transport, new CurrentPeer(followed));
+            ControlThread newControl = ControlThread.of("new-daemon");
+            FollowedConfiguration newDaemon = FollowedConfiguration.start(log, newControl);
+            assertThat(newDaemon.current()).isEmpty();
+            BlockingQueue<VersionedConfiguration> receivedVersions = new LinkedBlockingQueue<>();
+            newDaemon.addListener(receivedVersions::add);
+
+            PeerConfigurationFetcher.start(newDaemon, transport, newControl, List.of(outdatedPeer));
+            assertThat(next(receivedVersions).version()).isEqualTo(0);
+            PeerConfigurationFetcher.start(
+                    newDaemon, transport, newControl, List.of(outdatedPeer, currentPeer));
+            assertThat(next(receivedVersions).version()).isEqualTo(1);
+            assertThat(newDaemon.status().confirmed()).isFalse();
+
+            log.setUnavailable(false);
             publish("p-2", 1, changed(2));
-            assertThat(next(heard).version()).isEqualTo(2);
-            assertThat(newcomer.status().confirmed()).isTrue();
-            newcomer.close();
+            assertThat(next(receivedVersions).version()).isEqualTo(2);
+            assertThat(newDaemon.status().confirmed()).isTrue();
+            newDaemon.close();
             newControl.close();
         }
     }
@@ -172,23 +174,23 @@
     }
 
     @Test
-    void shouldLetANewcomerStartWhenOldRecordsHaveExpired() {
+    void shouldReadTheSnapshotWhenANewDaemonStartsAfterOldRecordsExpired() {
         ConfigurationSnapshotter snapshotter =
-                ConfigurationSnapshotter.start(first, log, control, () -> true);
+                ConfigurationSnapshotter.start(followed, log, control, () -> true);
 
         long upTo = nextEvent(ConfigurationEvent.SnapshotAgrees.class).upTo();
         log.expireBefore(upTo);
-        FollowedConfiguration newcomer = follow();
-        BlockingQueue<Versioned> heard = new LinkedBlockingQueue<>();
-        newcomer.listen(heard::add);
+        FollowedConfiguration newDaemon = follow();
+        BlockingQueue<VersionedConfiguration> receivedVersions = new LinkedBlockingQueue<>();
+        newDaemon.addListener(receivedVersions::add);
 
-        assertThat(next(heard).version()).isEqualTo(0);
-        newcomer.close();
+        assertThat(next(receivedVersions).version()).isEqualTo(0);
+        newDaemon.close();
         snapshotter.close();
     }
 
     /** A peer that still has version 0. */
-    private record Behind(String document) implements ConnectionHandler {
+    private record OutdatedPeer(String document) implements ConnectionHandler {
         @Override
         public void onOpen(Connection connection) {}
 
@@ -204,14 +206,14 @@
         public void onConnectFailed(TamaracktrackException failure) {}
     }
 
-    /** A peer as every daemon is one. */
-    private record Answering(ConfigurationSource source) implements ConnectionHandler {
+    /** A peer that handles configuration messages as every daemon does. */
+    private record CurrentPeer(ConfigurationSource source) implements ConnectionHandler {
         @Override
         public void onOpen(Connection connection) {}
 
         @Override
         public void onMessage(Connection connection, Message message) {
-            ConfigurationAnswers.of(source).handle(connection, message);
+            ConfigurationMessageHandler.of(source).handle(connection, message);
         }
 
         @Override
--- a/daemon/src/test/java/org/tamaracktrack/daemon/duty/DutiesTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/duty/DutiesTest.java
@@ -40,12 +40,12 @@
     /** One configuration, in force from the start. */
     private static final class Fixed implements ConfigurationSource {
         @Override
-        public Optional<Versioned> current() {
-            return Optional.of(new Versioned(4, "{}", configuration()));
+        public Optional<VersionedConfiguration> current() {
+            return Optional.of(new VersionedConfiguration(4, "{}", configuration()));
         }
 
         @Override
-        public void listen(Consumer<Versioned> listener) {}
+        public void addListener(Consumer<VersionedConfiguration> listener) {}
 
         @Override
         public void offer(long version, String document) {}
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
@@ -114,12 +114,12 @@
 
     private record Fixed(Configuration configuration) implements ConfigurationSource {
         @Override
-        public Optional<Versioned> current() {
-            return Optional.of(new Versioned(0, "{}", configuration));
+        public Optional<VersionedConfiguration> current() {
+            return Optional.of(new VersionedConfiguration(0, "{}", configuration));
         }
 
         @Override
-        public void listen(Consumer<Versioned> listener) {
+        public void addListener(Consumer<VersionedConfiguration> listener) {
             listener.accept(current().orElseThrow());
         }
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/target/TargetFixture.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/target/TargetFixture.java
@@ -92,12 +92,12 @@
 
     private record Fixed(Configuration configuration) implements ConfigurationSource {
         @Override
-        public Optional<Versioned> current() {
-            return Optional.of(new Versioned(7, "{}", configuration));
+        public Optional<VersionedConfiguration> current() {
+            return Optional.of(new VersionedConfiguration(7, "{}", configuration));
         }
 
         @Override
-        public void listen(Consumer<Versioned> listener) {
+        public void addListener(Consumer<VersionedConfiguration> listener) {
             listener.accept(current().orElseThrow());
         }
 
