--- a/daemon/src/main/java/org/tamaracktrack/daemon/settings/DaemonFlags.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/settings/DaemonFlags.java
@@ -4,24 +4,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The daemon's flags as text, before they are checked. */
+/** The command line flags of the daemon as unvalidated text. JCommander fills the fields. */
 final class DaemonFlags {
     @Parameter(names = "--role", description = "entry or target")
     String role;
 
-    @Parameter(names = "--host", description = "the host it runs on")
+    @Parameter(names = "--host", description = "the host on which the daemon runs")
     String host;
 
     @Parameter(names = "--data-centre", description = "the host's data centre")
     String dataCentre;
 
-    @Parameter(names = "--target", description = "the target beside it; for a target daemon")
+    @Parameter(names = "--target", description = "the target that a target daemon serves")
     String target;
 
-    @Parameter(names = "--http-address", description = "IP:PORT for HTTP")
+    @Parameter(names = "--http-address", description = "IP:PORT on which to serve HTTP")
     String httpAddress;
 
-    @Parameter(names = "--peer-address", description = "IP:PORT for other daemons")
+    @Parameter(names = "--peer-address", description = "IP:PORT on which to listen for daemons")
     String peerAddress;
 
     @Parameter(names = "--log-address", description = "IP:PORT of the log service")
@@ -30,25 +30,29 @@
     @Parameter(names = "--host-list-address", description = "IP:PORT of the host list")
     String hostListAddress;
 
-    @Parameter(names = "--peers", description = "IP:PORT,... of daemons to ask for configuration")
+    @Parameter(names = "--peers", description = "IP:PORT,... of daemons with the configuration")
     String peers;
 
-    @Parameter(names = "--shared-secret", description = "proves our daemons to each other")
+    @Parameter(names = "--shared-secret", description = "secret that authenticates daemons")
     String sharedSecret;
 
-    @Parameter(names = "--drain-millis", description = "how long a planned stop may take")
+    @Parameter(names = "--drain-millis", description = "time limit of a planned stop")
     String drainMillis;
 
-    @Parameter(names = "--balancer-lag-millis", description = "how long the balancer may lag")
+    @Parameter(
+            names = "--balancer-lag-millis",
+            description = "how late the balancer may notice a stop")
     String balancerLagMillis;
 
-    @Parameter(names = "--report-millis", description = "time between counter records")
+    @Parameter(names = "--report-millis", description = "interval between counter records")
     String reportMillis;
 
-    @Parameter(names = "--maximum-body-bytes", description = "the largest request body")
+    @Parameter(names = "--maximum-body-bytes", description = "maximum size of a request body")
     String maximumBodyBytes;
 
-    @Parameter(names = "--maximum-connections", description = "callers' connections at once")
+    @Parameter(
+            names = "--maximum-connections",
+            description = "maximum number of open caller connections")
     String maximumConnections;
 
     @Parameter(names = "--routing", description = "estimated-wait, random or fewest-outstanding")
@@ -63,6 +67,6 @@
     @Parameter(names = "--check-settings", description = "check the settings and exit")
     boolean checkSettings;
 
-    @Parameter(description = "no arguments besides the flags")
-    List<String> rest = new ArrayList<>();
+    @Parameter(description = "none; only flags are allowed")
+    List<String> unexpectedArguments = new ArrayList<>();
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/settings/DaemonSettings.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/settings/DaemonSettings.java
@@ -7,13 +7,13 @@
 import org.tamaracktrack.core.routing.RoutingKind;
 
 /**
- * Everything that a command line and an environment say.
+ * All settings that a daemon reads from its command line and environment.
  *
- * @param settings the settings
+ * @param settings the settings that both roles need at run time
  * @param routing how an entry daemon chooses targets
- * @param placement how an entry daemon that plans places models
+ * @param placement how an entry daemon that holds the planner duty places models
  * @param admission how a target daemon admits waiting requests
- * @param checkOnly whether to stop after the check
+ * @param checkOnly whether to exit once the settings are checked
  */
 public record DaemonSettings(
         Settings settings,
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns the settings on one line for the log; the shared secret is left out.
+     * Returns the settings on one line for the log, without the shared secret.
      *
      * @return key=value fields
      */
--- a/daemon/src/main/java/org/tamaracktrack/daemon/settings/IpAddresses.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/settings/IpAddresses.java
@@ -8,43 +8,48 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Reads and writes addresses as IP number and port; names are never looked up. */
+/**
+ * Parses and formats numeric IP addresses with a port. Host names are rejected and never resolved.
+ */
 public final class IpAddresses {
     private static final Pattern NUMERIC = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+\\]");
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAXIMUM_PORT = 65_535;
 
     private IpAddresses() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @param text IP number, colon and port
+     * @param text an IPv4 address, or an IPv6 address in brackets, then a colon and a port
      * @return the address
-     * @throws TamaracktrackException with {@code INVALID_SETTINGS} when it is none
+     * @throws TamaracktrackException with {@code INVALID_SETTINGS} if the text is not such an
+     *     address
      */
     public static InetSocketAddress parse(String text) {
         Objects.requireNonNull(text, "text is null");
         int colon = text.lastIndexOf(':');
         if (colon < 1 || !NUMERIC.matcher(text.substring(0, colon)).matches()) {
-            throw TamaracktrackException.of(ErrorCode.INVALID_SETTINGS, "not an IP:PORT: " + text);
+            throw TamaracktrackException.of(
+                    ErrorCode.INVALID_SETTINGS, "not a numeric IP:PORT address: " + text);
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (port < 0 || port > HIGHEST_PORT) {
-                throw TamaracktrackException.of(ErrorCode.INVALID_SETTINGS, "no port: " + text);
+            if (port < 0 || port > MAXIMUM_PORT) {
+                throw TamaracktrackException.of(
+                        ErrorCode.INVALID_SETTINGS, "port is not between 0 and 65535: " + text);
             }
             return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
         } catch (NumberFormatException | UnknownHostException failure) {
             throw TamaracktrackException.of(
-                    ErrorCode.INVALID_SETTINGS, "not an IP:PORT: " + text, failure);
+                    ErrorCode.INVALID_SETTINGS, "not a numeric IP:PORT address: " + text, failure);
         }
     }
 
     /**
-     * Writes an address.
+     * Formats an address.
      *
      * @param address the address
-     * @return IP number, colon and port
+     * @return the IP address, in brackets for IPv6, then a colon and the port
      */
     public static String format(InetSocketAddress address) {
         Objects.requireNonNull(address, "address is null");
--- a/daemon/src/main/java/org/tamaracktrack/daemon/settings/Settings.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/settings/Settings.java
@@ -9,23 +9,25 @@
 import org.tamaracktrack.core.id.TargetId;
 
 /**
- * The checked settings of one daemon.
+ * The validated settings of one daemon.
  *
- * @param role entry or target
- * @param host the host it runs on
+ * @param role whether this is an entry or a target daemon
+ * @param host the host on which the daemon runs
  * @param dataCentre the host's data centre
- * @param target the target beside it, for a target daemon
- * @param httpAddress where it serves HTTP: callers at an entry daemon, health and metrics at both
- * @param peerAddress where a target daemon listens for entry daemons
- * @param logAddress the platform's log
- * @param hostListAddress the platform's host list, if there is one
- * @param peers entry daemons to ask for the configuration while the log is out
- * @param sharedSecret proves our processes to each other
- * @param drainMillis how long a planned stop may take
- * @param balancerLagMillis how long the balancer may go on sending after readiness fails
- * @param reportMillis time between counter records
- * @param maximumBodyBytes the largest request body
- * @param maximumConnections how many callers' connections are open at once
+ * @param target the target that a target daemon serves; empty for an entry daemon
+ * @param httpAddress the address on which the daemon serves HTTP: health and metrics in both roles,
+ *     and callers in the entry role
+ * @param peerAddress the address on which the daemon listens for other daemons
+ * @param logAddress the log service of the platform
+ * @param hostListAddress the host list service of the platform, if there is one
+ * @param peers entry daemons from which to request the configuration while the log is unavailable
+ * @param sharedSecret the secret with which daemons authenticate each other
+ * @param drainMillis the time limit of a planned stop, in milliseconds
+ * @param balancerLagMillis how long the balancer may continue to send requests after readiness
+ *     fails, in milliseconds
+ * @param reportMillis the interval between counter records, in milliseconds
+ * @param maximumBodyBytes the maximum size of a request body, in bytes
+ * @param maximumConnections the maximum number of open caller connections
  */
 public record Settings(
         Role role,
--- a/daemon/src/main/java/org/tamaracktrack/daemon/settings/SettingsParser.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/settings/SettingsParser.java
@@ -22,16 +22,16 @@
 import org.tamaracktrack.core.placement.PlacementKind;
 import org.tamaracktrack.core.routing.RoutingKind;
 
-/** Reads the settings from flags and environment variables and checks them all. */
+/** Reads the settings from flags and environment variables and validates all of them. */
 public final class SettingsParser {
     private static final String ENVIRONMENT_PREFIX = "TAMARACKTRACK_";
     private static final int MINIMUM_SECRET_LENGTH = 8;
     private static final String DEFAULT_DRAIN_MILLIS = "30000";
     private static final String DEFAULT_BALANCER_LAG_MILLIS = "2000";
     private static final String DEFAULT_REPORT_MILLIS = "5000";
-    private static final String DEFAULT_BODY_BYTES = "1048576";
-    private static final String DEFAULT_CONNECTIONS = "2000";
-    private static final long LONGEST_MILLIS = 86_400_000;
+    private static final String DEFAULT_MAXIMUM_BODY_BYTES = "1048576";
+    private static final String DEFAULT_MAXIMUM_CONNECTIONS = "2000";
+    private static final long MAXIMUM_MILLIS = 86_400_000;
 
     private final Map<String, String> environment;
     private final List<String> problems = new ArrayList<>();
@@ -44,16 +44,16 @@
     public sealed interface Result {}
 
     /**
-     * Every setting is in order.
+     * All settings are valid.
      *
      * @param settings the settings
      */
     public record Valid(DaemonSettings settings) implements Result {}
 
     /**
-     * Some settings are wrong.
+     * At least one setting is invalid.
      *
-     * @param problems all that is wrong, one sentence each
+     * @param problems all problems found, one sentence each
      */
     public record Invalid(List<String> problems) implements Result {
 
@@ -64,20 +64,20 @@
     }
 
     /**
-     * Reads and checks the settings. A flag goes before its environment variable.
+     * Reads and validates the settings. A flag takes precedence over its environment variable.
      *
-     * @param arguments the command line
-     * @param environment the environment
-     * @return the settings, or all that is wrong with them
+     * @param arguments the command line arguments
+     * @param environment the environment variables by name
+     * @return the settings, or all problems found
      */
     public static Result parse(String[] arguments, Map<String, String> environment) {
         Objects.requireNonNull(arguments, "arguments is null");
         Objects.requireNonNull(environment, "environment is null");
-        return new SettingsParser(environment).read(arguments);
+        return new SettingsParser(environment).parseAndCheck(arguments);
     }
 
     /**
-     * Returns a help text with every flag.
+     * Returns the usage text, which lists every flag.
      *
      * @return the text
      */
@@ -96,7 +96,7 @@
         return commander;
     }
 
-    private Result read(String[] arguments) {
+    private Result parseAndCheck(String[] arguments) {
         DaemonFlags flags = new DaemonFlags();
         JCommander commander = commander(flags);
         try {
@@ -104,7 +104,7 @@
         } catch (ParameterException failure) {
             problems.add(failure.getMessage());
         }
-        Stream.concat(commander.getUnknownOptions().stream(), flags.rest.stream())
+        Stream.concat(commander.getUnknownOptions().stream(), flags.unexpectedArguments.stream())
                 .distinct()
                 .forEach(option -> problems.add("unknown flag or argument: " + option));
         checkEnvironmentNames(commander);
@@ -113,19 +113,19 @@
     }
 
     private void checkEnvironmentNames(JCommander commander) {
-        List<String> known =
+        List<String> knownNames =
                 commander.getParameters().stream()
                         .map(ParameterDescription::getLongestName)
-                        .map(SettingsParser::variable)
+                        .map(SettingsParser::environmentVariable)
                         .collect(Collectors.toList());
         environment.keySet().stream()
                 .filter(name -> name.startsWith(ENVIRONMENT_PREFIX))
-                .filter(name -> !known.contains(name))
+                .filter(name -> !knownNames.contains(name))
                 .sorted()
                 .forEach(name -> problems.add("unknown environment variable: " + name));
     }
 
-    private static String variable(String flag) {
+    private static String environmentVariable(String flag) {
         return ENVIRONMENT_PREFIX + flag.substring(2).replace('-', '_').toUpperCase(Locale.ROOT);
     }
 
@@ -164,11 +164,14 @@
                                 flags.balancerLagMillis,
                                 DEFAULT_BALANCER_LAG_MILLIS),
                         millis("--report-millis", flags.reportMillis, DEFAULT_REPORT_MILLIS),
-                        count("--maximum-body-bytes", flags.maximumBodyBytes, DEFAULT_BODY_BYTES),
+                        count(
+                                "--maximum-body-bytes",
+                                flags.maximumBodyBytes,
+                                DEFAULT_MAXIMUM_BODY_BYTES),
                         count(
                                 "--maximum-connections",
                                 flags.maximumConnections,
-                                DEFAULT_CONNECTIONS));
+                                DEFAULT_MAXIMUM_CONNECTIONS));
         checkTimes(settings);
         return new DaemonSettings(
                 settings, routing(flags), placement(flags), admission(flags), checkOnly(flags));
@@ -230,7 +233,7 @@
 
     private <T> Optional<T> required(
             String flag, String text, Function<String, T> reader, String allowed) {
-        if (text == null && environment.get(variable(flag)) == null) {
+        if (text == null && environment.get(environmentVariable(flag)) == null) {
             problems.add(flag + " is missing: " + allowed);
             return Optional.empty();
         }
@@ -239,14 +242,15 @@
 
     private <T> Optional<T> value(
             String flag, String text, Function<String, T> reader, String allowed) {
-        Optional<String> found =
+        Optional<String> givenText =
                 Optional.ofNullable(text)
-                        .or(() -> Optional.ofNullable(environment.get(variable(flag))));
+                        .or(() -> Optional.ofNullable(environment.get(environmentVariable(flag))));
         try {
-            return found.map(reader);
+            return givenText.map(reader);
         } catch (TamaracktrackException | IllegalArgumentException failure) {
-            String shown = flag.equals("--shared-secret") ? "(not shown)" : found.orElse("");
-            problems.add(flag + " is wrong: found " + shown + ", allowed " + allowed);
+            String displayedText =
+                    flag.equals("--shared-secret") ? "(not shown)" : givenText.orElse("");
+            problems.add(flag + " is wrong: found " + displayedText + ", allowed " + allowed);
             return Optional.empty();
         }
     }
@@ -255,14 +259,14 @@
         return required(flag, text, SettingsParser::addressOf, "IP:PORT");
     }
 
-    private long millis(String flag, String text, String otherwise) {
-        return value(flag, text, SettingsParser::millisOf, "1 to " + LONGEST_MILLIS)
-                .orElseGet(() -> Long.parseLong(otherwise));
+    private long millis(String flag, String text, String defaultText) {
+        return value(flag, text, SettingsParser::millisOf, "1 to " + MAXIMUM_MILLIS)
+                .orElseGet(() -> Long.parseLong(defaultText));
     }
 
-    private int count(String flag, String text, String otherwise) {
+    private int count(String flag, String text, String defaultText) {
         return value(flag, text, SettingsParser::countOf, "1 to " + Integer.MAX_VALUE)
-                .orElseGet(() -> Integer.parseInt(otherwise));
+                .orElseGet(() -> Integer.parseInt(defaultText));
     }
 
     private static Settings.Role roleOf(String text) {
@@ -278,7 +282,7 @@
 
     private static long millisOf(String text) {
         long millis = Long.parseLong(text);
-        if (millis < 1 || millis > LONGEST_MILLIS) {
+        if (millis < 1 || millis > MAXIMUM_MILLIS) {
             throw new IllegalArgumentException("out of range");
         }
         return millis;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/settings/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings by flags and environment variables, checked all at once at start. */
+/** Reads the settings from flags and environment variables and validates them at start. */
 package org.tamaracktrack.daemon.settings;
--- a/daemon/src/test/java/org/tamaracktrack/daemon/settings/SettingsPageTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/settings/FlagDocumentationTest.java
@@ -9,17 +9,17 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-class SettingsPageTest {
+class FlagDocumentationTest {
 
     @Test
-    void shouldListEveryFlagOfTheDaemon() throws IOException {
-        String page = Files.readString(Path.of("../docs/OPERATORS.md"));
+    void shouldFindEveryFlagInTheOperatorDocumentation() throws IOException {
+        String documentation = Files.readString(Path.of("../docs/OPERATORS.md"));
 
         assertThat(
                         new JCommander(new DaemonFlags())
                                 .getParameters().stream()
                                         .map(ParameterDescription::getLongestName)
-                                        .filter(flag -> !page.contains("`" + flag + "`"))
+                                        .filter(flag -> !documentation.contains("`" + flag + "`"))
                                         .toList())
                 .isEmpty();
     }
--- a/daemon/src/test/java/org/tamaracktrack/daemon/settings/SettingsParserTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/settings/SettingsParserTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class SettingsParserTest {
-    private static final List<String> ENTRY =
+    private static final List<String> ENTRY_FLAGS =
             List.of(
                     "--role=entry",
                     "--host=host-1",
@@ -19,12 +19,13 @@
                     "--log-address=127.0.0.1:9000",
                     "--shared-secret=a-long-secret");
 
-    private static SettingsParser.Result parse(Map<String, String> environment, String... more) {
+    private static SettingsParser.Result parse(
+            Map<String, String> environment, String... extraArguments) {
         List<String> arguments = new ArrayList<>();
-        ENTRY.stream()
+        ENTRY_FLAGS.stream()
                 .flatMap(flag -> List.of(flag.split("=", 2)).stream())
                 .forEach(arguments::add);
-        arguments.addAll(List.of(more));
+        arguments.addAll(List.of(extraArguments));
         return SettingsParser.parse(arguments.toArray(String[]::new), environment);
     }
 
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void shouldReadFlags() {
+    void shouldParseFlags() {
         Settings settings = valid(parse(Map.of(), "--peers", "127.0.0.1:1,127.0.0.1:2"));
 
         assertThat(settings.role()).isEqualTo(Settings.Role.ENTRY);
@@ -47,7 +48,7 @@
     }
 
     @Test
-    void shouldTakeTheFlagWhenTheEnvironmentDiffers() {
+    void shouldPreferTheFlagWhenTheEnvironmentVariableDiffers() {
         Map<String, String> environment =
                 Map.of(
                         "TAMARACKTRACK_DRAIN_MILLIS", "7000",
@@ -60,7 +61,7 @@
     }
 
     @Test
-    void shouldLeaveTheSecretOutOfTheDescription() {
+    void shouldOmitTheSharedSecretFromTheDescription() {
         SettingsParser.Valid result = (SettingsParser.Valid) parse(Map.of());
 
         assertThat(result.settings().describe()).doesNotContain("a-long-secret");
@@ -69,7 +70,7 @@
     @Nested
     class Problems {
         @Test
-        void shouldNameEveryProblemAtOnce() {
+        void shouldReportAllProblemsTogetherWhenSeveralSettingsAreInvalid() {
             SettingsParser.Result result =
                     SettingsParser.parse(
                             new String[] {
@@ -81,19 +82,19 @@
                             },
                             Map.of("TAMARACKTRACK_ROLL", "entry"));
 
-            String all = String.join("\n", problems(result));
-            assertThat(all).contains("--role is wrong");
-            assertThat(all).contains("--log-address is wrong: found localhost:9000");
-            assertThat(all).contains("--drain-millis is wrong");
-            assertThat(all).contains("--shared-secret is wrong: found (not shown)");
-            assertThat(all).contains("--host is missing");
-            assertThat(all).contains("--colour");
-            assertThat(all).contains("TAMARACKTRACK_ROLL");
-            assertThat(all).doesNotContain("short\n");
+            String allProblems = String.join("\n", problems(result));
+            assertThat(allProblems).contains("--role is wrong");
+            assertThat(allProblems).contains("--log-address is wrong: found localhost:9000");
+            assertThat(allProblems).contains("--drain-millis is wrong");
+            assertThat(allProblems).contains("--shared-secret is wrong: found (not shown)");
+            assertThat(allProblems).contains("--host is missing");
+            assertThat(allProblems).contains("--colour");
+            assertThat(allProblems).contains("TAMARACKTRACK_ROLL");
+            assertThat(allProblems).doesNotContain("short\n");
         }
 
         @Test
-        void shouldRefuseWhenSettingsContradict() {
+        void shouldRejectSettingsThatContradictEachOther() {
             assertThat(problems(parse(Map.of(), "--target", "engine-1")).get(0))
                     .contains("--target contradicts --role entry");
             assertThat(
