--- a/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
@@ -132,8 +132,8 @@
         if (signals.incrementAndGet() == 1) {
             new Thread(this::stop, "stop").start();
         } else {
-            LOG.warnf("event=stopped-at-once cut=%d", role.inProgress());
-            System.err.println("stopped at once, requests cut: " + role.inProgress());
+            LOG.warnf("event=stopped-at-once cut=%d", role.requestsInProgress());
+            System.err.println("stopped at once, requests cut: " + role.requestsInProgress());
             Runtime.getRuntime().halt(STOPPED_AT_ONCE);
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public int inProgress() {
+    public int requestsInProgress() {
         return services.inProgress().size();
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/BoundedLogHandler.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/BoundedLogHandler.java
@@ -9,22 +9,22 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes log lines from one thread of its own, bounded in number.
+ * Writes log lines on a thread of its own, with a bounded queue and a limited rate.
  *
- * <p>An output that nobody reads blocks its writer. Were that a traffic thread, every request would
- * stand still; here only the log does. Lines that find the queue full, or come faster than the
- * rate, are left out and counted, and the count is written.
+ * <p>Writing to an output that nobody reads blocks. On a traffic thread that would stop every
+ * request; here it stops only the log. Lines that arrive while the queue is full or that exceed the
+ * rate are omitted and counted, and the count is written to the output.
  */
 public final class BoundedLogHandler extends Handler {
-    private static final int QUEUED_LINES = 4_096;
-    private static final long SECOND_MILLIS = 1_000;
+    private static final int QUEUE_CAPACITY_LINES = 4_096;
+    private static final long WINDOW_MILLIS = 1_000;
 
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUED_LINES);
-    private final AtomicLong leftOut = new AtomicLong();
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY_LINES);
+    private final AtomicLong omittedLines = new AtomicLong();
     private final PrintStream out;
     private final int linesPerSecond;
-    private long secondStartedMillis;
-    private int linesThisSecond;
+    private long windowStartMillis;
+    private int linesInWindow;
 
     private BoundedLogHandler(PrintStream out, int linesPerSecond) {
         this.out = out;
@@ -34,14 +34,14 @@
     /**
      * Starts a handler.
      *
-     * @param out where lines go
-     * @param linesPerSecond how many at most
+     * @param out the output
+     * @param linesPerSecond the maximum number of lines per second
      * @return the handler
      */
     public static BoundedLogHandler start(PrintStream out, int linesPerSecond) {
         Objects.requireNonNull(out, "out is null");
         BoundedLogHandler handler = new BoundedLogHandler(out, linesPerSecond);
-        Thread writer = new Thread(handler::write, "log");
+        Thread writer = new Thread(handler::writeQueuedLines, "log");
         writer.setDaemon(true);
         writer.start();
         return handler;
@@ -52,20 +52,20 @@
         if (!isLoggable(record)) {
             return;
         }
-        if (!takeRate(record.getMillis()) || !queue.offer(line(record))) {
-            leftOut.incrementAndGet();
+        if (!countWithinRate(record.getMillis()) || !queue.offer(format(record))) {
+            omittedLines.incrementAndGet();
         }
     }
 
-    private synchronized boolean takeRate(long nowMillis) {
-        if (Math.abs(nowMillis - secondStartedMillis) >= SECOND_MILLIS) {
-            secondStartedMillis = nowMillis;
-            linesThisSecond = 0;
+    private synchronized boolean countWithinRate(long nowMillis) {
+        if (Math.abs(nowMillis - windowStartMillis) >= WINDOW_MILLIS) {
+            windowStartMillis = nowMillis;
+            linesInWindow = 0;
         }
-        return linesThisSecond++ < linesPerSecond;
+        return linesInWindow++ < linesPerSecond;
     }
 
-    private static String line(LogRecord record) {
+    private static String format(LogRecord record) {
         StringBuilder text = new StringBuilder(256);
         text.append("at=").append(record.getMillis());
         text.append(" level=").append(record.getLevel().getName());
@@ -80,14 +80,14 @@
         return text.toString();
     }
 
-    private void write() {
+    private void writeQueuedLines() {
         try {
             while (true) {
                 String line = queue.take();
                 out.println(line);
-                long missed = leftOut.getAndSet(0);
-                if (missed > 0) {
-                    out.println("level=WARN event=log-lines-left-out count=" + missed);
+                long omitted = omittedLines.getAndSet(0);
+                if (omitted > 0) {
+                    out.println("level=WARN event=log-lines-left-out count=" + omitted);
                 }
             }
         } catch (InterruptedException stopped) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Writes what is queued, for at most a moment. */
+    /** Writes the queued lines on the calling thread. */
     @Override
     public void flush() {
         for (String line = queue.poll(); line != null; line = queue.poll()) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/ControlThread.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/ControlThread.java
@@ -7,11 +7,16 @@
 import java.util.concurrent.TimeUnit;
 import org.jboss.logging.Logger;
 
-/** The one thread that owns a daemon's control state. Tasks run one at a time, in order. */
+/**
+ * The single thread that owns a daemon's control state. Tasks run one at a time, in the order in
+ * which they were posted or fell due.
+ */
 public final class ControlThread implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(ControlThread.class);
 
-    /** What a task may take before others that wait behind it are late, in milliseconds. */
+    /**
+     * A task that runs longer than this is logged, because it delays the tasks queued behind it.
+     */
     private static final long LONG_TASK_MILLIS = 250;
 
     private final ScheduledExecutorService executor;
@@ -38,58 +43,62 @@
     }
 
     /**
-     * Returns the monotonic time that control state works with.
+     * Returns the current time of the monotonic clock that control state uses. May be called on any
+     * thread.
      *
-     * @return milliseconds from an arbitrary start
+     * @return milliseconds since an arbitrary origin
      */
     public static long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     /**
-     * Runs a task soon. After {@link #close()} it is dropped.
+     * Queues a task to run as soon as possible. It is dropped after {@link #close()}. May be called
+     * on any thread.
      *
      * @param task the task
      */
     public void post(Runnable task) {
         Objects.requireNonNull(task, "task is null");
         try {
-            executor.execute(guarded(task));
+            executor.execute(withFailuresLogged(task));
         } catch (RejectedExecutionException closed) {
             LOG.debugf("event=control-task-dropped reason=closed");
         }
     }
 
     /**
-     * Runs a task once after a delay.
+     * Runs a task once after a delay. It is dropped after {@link #close()}. May be called on any
+     * thread.
      *
-     * @param delayMillis the delay
+     * @param delayMillis the delay in milliseconds
      * @param task the task
      */
     public void after(long delayMillis, Runnable task) {
         Objects.requireNonNull(task, "task is null");
         try {
-            executor.schedule(guarded(task), delayMillis, TimeUnit.MILLISECONDS);
+            executor.schedule(withFailuresLogged(task), delayMillis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException closed) {
             LOG.debugf("event=control-task-dropped reason=closed");
         }
     }
 
     /**
-     * Runs a task again and again.
+     * Runs a task repeatedly until {@link #close()}.
      *
-     * @param periodMillis the time between the end of one run and the start of the next
+     * @param periodMillis the time between the end of one run and the start of the next, in
+     *     milliseconds; also the delay of the first run
      * @param task the task
      */
     public void every(long periodMillis, Runnable task) {
         Objects.requireNonNull(task, "task is null");
         executor.scheduleWithFixedDelay(
-                guarded(task), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
+                withFailuresLogged(task), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
 
-    // A task that throws would silently end its repetition and freeze the daemon's control state
-    // while traffic goes on; logged and swallowed, the next tick runs.
-    private static Runnable guarded(Runnable task) {
+    // The executor silently cancels a repeated task that throws. The control state would then no
+    // longer be updated while traffic continues, so exceptions are logged and not rethrown.
+    private static Runnable withFailuresLogged(Runnable task) {
         return () -> {
             long startedMillis = nowMillis();
             try {
@@ -97,11 +106,11 @@
             } catch (RuntimeException failure) {
                 LOG.errorf(failure, "event=control-task-failed");
             }
-            noteLength(nowMillis() - startedMillis, task);
+            logIfLong(nowMillis() - startedMillis, task);
         };
     }
 
-    private static void noteLength(long ranMillis, Runnable task) {
+    private static void logIfLong(long ranMillis, Runnable task) {
         if (ranMillis > LONG_TASK_MILLIS) {
             LOG.infof(
                     "event=control-task-long ran_ms=%d task=%s",
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DaemonRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DaemonRole.java
@@ -2,38 +2,38 @@
 
 import java.net.InetSocketAddress;
 
-/** One role of the daemon, running. */
+/** A running role of the daemon. */
 public interface DaemonRole {
 
     /**
-     * Returns where other daemons reach this one.
+     * Returns the address on which other daemons can connect to this one.
      *
      * @return the address in use
      */
     InetSocketAddress peerAddress();
 
     /**
-     * Returns whether the role can do its work. False while it has no configuration and from the
-     * start of a drain on.
+     * Returns whether the role accepts new requests. It does not while it has no configuration, nor
+     * from the start of a drain on.
      *
-     * @return true when new work may be sent here
+     * @return true if new requests may be sent to this daemon
      */
     boolean ready();
 
     /**
-     * Returns how much would be cut if the process ended now.
+     * Returns the number of requests that would be cut off if the process ended now.
      *
-     * @return how many requests are in progress
+     * @return the number of requests in progress
      */
-    default int inProgress() {
+    default int requestsInProgress() {
         return 0;
     }
 
     /**
-     * Stops taking new work, finishes what is in progress, writes the last records, and returns; at
-     * the latest when the time for a planned stop has passed.
+     * Rejects new requests, waits until those in progress have ended, writes the last records, and
+     * returns. Returns at the latest when the time limit of a planned stop has passed.
      *
-     * @return true when nothing in progress was cut
+     * @return true if no request in progress was cut off
      */
     boolean drain();
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DaemonRuntime.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DaemonRuntime.java
@@ -12,16 +12,16 @@
 import org.tamaracktrack.link.log.LogClient;
 
 /**
- * The parts that a role is built from.
+ * The components that a role is built from.
  *
  * @param settings the settings
  * @param incarnation this run of the process
- * @param control the control thread
- * @param log the platform's log
- * @param hosts the platform's host list, if there is one
- * @param transport connections between daemons
- * @param http calls to outside systems
- * @param metrics the meters
+ * @param control the thread that owns the control state
+ * @param log the client of the platform's log
+ * @param hosts the client of the platform's host list, if there is one
+ * @param transport opens and accepts connections between daemons
+ * @param http makes HTTP calls to engines and platform services
+ * @param metrics the metrics registry
  * @param configuration the configuration in force
  */
 public record DaemonRuntime(
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DelayMonitor.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DelayMonitor.java
@@ -10,31 +10,33 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Measures how late the threads of a daemon run what is due. A daemon that is short of processor
- * time reads late what others sent in time; without this measure that looks like their delay.
+ * Measures the scheduling delay of the control and traffic threads. A daemon that is short of
+ * processor time reads messages late even if they were sent in time; this measurement distinguishes
+ * its own delay from that of the sender.
  */
 public final class DelayMonitor {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.delay");
     private static final long INTERVAL_MILLIS = 100;
 
-    /** What a read of the store can be late by in all before its time is over for that alone. */
-    private static final long LATE_MILLIS = 250;
+    /** The scheduling delay that by itself makes a read of the store exceed its time limit. */
+    private static final long LATE_THRESHOLD_MILLIS = 250;
 
-    private final SchedulingDelay control = delay();
-    private final SchedulingDelay traffic = delay();
+    private final SchedulingDelay controlDelay = newDelay();
+    private final SchedulingDelay trafficDelay = newDelay();
 
     private DelayMonitor() {}
 
-    private static SchedulingDelay delay() {
-        return SchedulingDelay.of(INTERVAL_MILLIS, LATE_MILLIS, ControlThread.nowMillis());
+    private static SchedulingDelay newDelay() {
+        return SchedulingDelay.of(
+                INTERVAL_MILLIS, LATE_THRESHOLD_MILLIS, ControlThread.nowMillis());
     }
 
     /**
-     * Starts to measure.
+     * Starts a monitor and registers its gauges.
      *
-     * @param controlThread the thread of control state
-     * @param trafficThread the thread of traffic
-     * @param metrics shows the longest delays
+     * @param controlThread the thread that owns the control state
+     * @param trafficThread the input/output thread that handles requests
+     * @param metrics the registry for the gauges of the longest delays
      * @return the monitor
      */
     public static DelayMonitor start(
@@ -42,19 +44,19 @@
         Objects.requireNonNull(controlThread, "controlThread is null");
         Objects.requireNonNull(trafficThread, "trafficThread is null");
         DelayMonitor monitor = new DelayMonitor();
-        controlThread.every(INTERVAL_MILLIS, () -> beat("control", monitor.control));
-        monitor.beatLater(trafficThread);
-        gauge("control", monitor.control, metrics);
-        gauge("traffic", monitor.traffic, metrics);
+        controlThread.every(INTERVAL_MILLIS, () -> measure("control", monitor.controlDelay));
+        monitor.measureRepeatedly(trafficThread);
+        registerGauge("control", monitor.controlDelay, metrics);
+        registerGauge("traffic", monitor.trafficDelay, metrics);
         return monitor;
     }
 
-    private void beatLater(XnioIoThread trafficThread) {
+    private void measureRepeatedly(XnioIoThread trafficThread) {
         try {
             trafficThread.executeAfter(
                     () -> {
-                        beat("traffic", traffic);
-                        beatLater(trafficThread);
+                        measure("traffic", trafficDelay);
+                        measureRepeatedly(trafficThread);
                     },
                     INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
@@ -63,29 +65,30 @@
         }
     }
 
-    private static void gauge(String thread, SchedulingDelay delay, MeterRegistry metrics) {
+    private static void registerGauge(String thread, SchedulingDelay delay, MeterRegistry metrics) {
         Gauge.builder("tamaracktrack.thread.delay", delay, SchedulingDelay::takeLongestMillis)
                 .tag("thread", thread)
                 .description("the longest delay in milliseconds of a thread since the last scrape")
                 .register(metrics);
     }
 
-    private static void beat(String thread, SchedulingDelay delay) {
+    private static void measure(String thread, SchedulingDelay delay) {
         long delayMillis = delay.beat(ControlThread.nowMillis());
-        if (delayMillis > LATE_MILLIS) {
+        if (delayMillis > LATE_THRESHOLD_MILLIS) {
             LOG.info("event=thread-late thread=" + thread + " delay_ms=" + delayMillis);
         }
     }
 
     /**
-     * Returns whether both threads have run in time since a moment. May be asked by any thread.
+     * Returns whether both threads have run their tasks without a late start since a given time.
+     * May be called on any thread.
      *
-     * @param sinceMillis the moment, by the monotonic clock
-     * @return false when one of them was late, or is late now
+     * @param sinceMillis the start of the period, by the clock of {@link ControlThread#nowMillis()}
+     * @return false if a thread was late in that period or is late now
      */
     public boolean punctualSince(long sinceMillis) {
         long nowMillis = ControlThread.nowMillis();
-        return control.punctualSince(sinceMillis, nowMillis)
-                && traffic.punctualSince(sinceMillis, nowMillis);
+        return controlDelay.punctualSince(sinceMillis, nowMillis)
+                && trafficDelay.punctualSince(sinceMillis, nowMillis);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/LogFollower.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/LogFollower.java
@@ -9,11 +9,14 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Follows one stream of the log on a thread of its own and hands its records to control state. */
+/**
+ * Reads one stream of the log continuously on a thread of its own and passes its records to a
+ * listener on the control thread.
+ */
 public final class LogFollower implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(LogFollower.class);
-    private static final int BATCH = 500;
-    private static final long WAIT_MILLIS = 2_000;
+    private static final int BATCH_RECORDS = 500;
+    private static final long READ_WAIT_MILLIS = 2_000;
     private static final long RETRY_MILLIS = 300;
 
     private final LogClient log;
@@ -23,42 +26,43 @@
     private final Thread thread;
     private volatile boolean closed;
 
-    /** Hears of the stream's records, on the control thread. */
+    /** Receives the stream's records. All methods are called on the control thread. */
     public interface Listener {
 
         /**
-         * A record, in offset order.
+         * Handles a record. Records arrive in the order of their offsets.
          *
          * @param record the record
          */
         void onRecord(LogRecord record);
 
         /**
-         * A record that is not understood, and is therefore not handed over. Called before the
-         * records around it.
+         * Handles a record that can't be decoded and is therefore skipped. Called before the other
+         * records of the same read, including those with lower offsets.
          *
-         * @param offset its offset
+         * @param offset the offset of the skipped record
          */
         default void onUndecodable(long offset) {}
 
         /**
-         * Records from the next offset on have expired before they were read.
+         * Handles a gap: records from the next expected offset on expired before they were read.
          *
-         * @param firstOffset the oldest record there still is
+         * @param firstOffset the offset of the oldest record that the log still holds
          */
         void onGap(long firstOffset);
 
         /**
-         * Every record there was when this was read has been handed over.
+         * Handles the end of the stream: every record that the log held at the time of the read has
+         * been passed on.
          *
-         * @param nextOffset the offset of the record to be appended next
+         * @param nextOffset the offset that the next appended record will have
          */
         void onCaughtUp(long nextOffset);
 
         /**
-         * The log could not be read, or can be read again.
+         * Handles a change of the log's availability.
          *
-         * @param reachable whether it can
+         * @param reachable whether the latest read succeeded
          */
         void onReachable(boolean reachable);
     }
@@ -75,10 +79,10 @@
     /**
      * Starts to follow a stream from its oldest record.
      *
-     * @param log the log
+     * @param log the log to read from
      * @param stream the stream
-     * @param control the control thread
-     * @param listener hears of the records
+     * @param control the thread on which the listener is called
+     * @param listener receives the records
      * @return the follower
      */
     public static LogFollower start(
@@ -91,16 +95,17 @@
     }
 
     private void follow() {
-        long next = 0;
+        long nextOffset = 0;
         boolean reachable = true;
         while (!closed) {
             try {
-                LogClient.Batch batch = log.read(stream, next, BATCH, WAIT_MILLIS);
+                LogClient.Batch batch =
+                        log.read(stream, nextOffset, BATCH_RECORDS, READ_WAIT_MILLIS);
                 if (!reachable) {
                     reachable = true;
                     control.post(() -> listener.onReachable(true));
                 }
-                next = deliver(next, batch);
+                nextOffset = deliver(nextOffset, batch);
             } catch (TamaracktrackException failure) {
                 if (reachable) {
                     reachable = false;
@@ -112,25 +117,27 @@
         }
     }
 
-    private long deliver(long next, LogClient.Batch batch) {
-        // Retention may drop records before a slow reader sees them; passing over the hole in
-        // silence would leave it with an old configuration that it believes to be current.
-        if (batch.firstOffset() > next) {
+    private long deliver(long nextOffset, LogClient.Batch batch) {
+        // Records may expire before a slow reader has read them. If the gap were skipped without
+        // notice, the reader would treat an old configuration as the current one.
+        if (batch.firstOffset() > nextOffset) {
             control.post(() -> listener.onGap(batch.firstOffset()));
         }
         batch.undecodable().forEach(offset -> control.post(() -> listener.onUndecodable(offset)));
         batch.records().forEach(record -> control.post(() -> listener.onRecord(record)));
-        long after = Math.max(Math.max(next, batch.firstOffset()), lastOffset(batch) + 1);
-        if (after >= batch.nextOffset()) {
+        long followingOffset =
+                Math.max(Math.max(nextOffset, batch.firstOffset()), lastOffset(batch) + 1);
+        if (followingOffset >= batch.nextOffset()) {
             control.post(() -> listener.onCaughtUp(batch.nextOffset()));
         }
-        return after;
+        return followingOffset;
     }
 
     private static long lastOffset(LogClient.Batch batch) {
-        long known = batch.records().stream().mapToLong(LogRecord::offset).max().orElse(-1);
-        long unknown = batch.undecodable().stream().mapToLong(Long::longValue).max().orElse(-1);
-        return Math.max(known, unknown);
+        long lastDecoded = batch.records().stream().mapToLong(LogRecord::offset).max().orElse(-1);
+        long lastUndecodable =
+                batch.undecodable().stream().mapToLong(Long::longValue).max().orElse(-1);
+        return Math.max(lastDecoded, lastUndecodable);
     }
 
     @Override
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
@@ -278,7 +278,7 @@
     }
 
     @Override
-    public int inProgress() {
+    public int requestsInProgress() {
         return submissions.size();
     }
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
@@ -202,7 +202,7 @@
     /** Makes a target known and waits until this daemon may send it work. */
     void join(FakeTarget... targets) {
         Arrays.stream(targets).forEach(target -> target.own(log));
-        await(() -> role.inProgress() == 0 && connected() >= targets.length);
+        await(() -> role.requestsInProgress() == 0 && connected() >= targets.length);
     }
 
     private int connected() {
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/WholeAnswersTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/WholeAnswersTest.java
@@ -194,7 +194,7 @@
             assertThat(before * part.length).isLessThan(32L * 1024 * 1024);
             InputStream input = caller.getInputStream();
             input.readNBytes((int) before * part.length / 2);
-            EntryFixture.await(() -> entry.role.inProgress() == 1);
+            EntryFixture.await(() -> entry.role.requestsInProgress() == 1);
         }
     }
 
