--- a/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
@@ -17,7 +17,7 @@
 import org.tamaracktrack.daemon.configuration.FollowedConfiguration;
 import org.tamaracktrack.daemon.configuration.PeerConfigurationFetcher;
 import org.tamaracktrack.daemon.entry.EntryRole;
-import org.tamaracktrack.daemon.operations.HttpFront;
+import org.tamaracktrack.daemon.operations.DaemonHttpServer;
 import org.tamaracktrack.daemon.operations.OperationsHandler;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.daemon.runtime.DaemonRole;
@@ -42,10 +42,10 @@
 
     private final DaemonRuntime runtime;
     private final DaemonRole role;
-    private final HttpFront front;
+    private final DaemonHttpServer front;
     private final AtomicInteger signals = new AtomicInteger();
 
-    private DaemonProcess(DaemonRuntime runtime, DaemonRole role, HttpFront front) {
+    private DaemonProcess(DaemonRuntime runtime, DaemonRole role, DaemonHttpServer front) {
         this.runtime = runtime;
         this.role = role;
         this.front = front;
@@ -102,9 +102,10 @@
                 configuration);
     }
 
-    private static HttpFront front(DaemonRuntime runtime, DaemonRole role, HttpHandler next) {
+    private static DaemonHttpServer front(
+            DaemonRuntime runtime, DaemonRole role, HttpHandler next) {
         try {
-            return HttpFront.start(
+            return DaemonHttpServer.start(
                     runtime.settings().httpAddress(),
                     runtime.settings().maximumConnections(),
                     OperationsHandler.of(runtime.metrics(), role::ready, next));
--- a/daemon/src/main/java/org/tamaracktrack/daemon/operations/OperationsHandler.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/operations/OperationsHandler.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import java.util.function.BooleanSupplier;
 
-/** Serves {@code /healthz}, {@code /readyz} and {@code /metrics}; the rest goes on. */
+/** Serves {@code /healthz}, {@code /readyz} and {@code /metrics}, and passes other requests on. */
 public final class OperationsHandler implements HttpHandler {
     private static final String PROMETHEUS_TEXT = "text/plain; version=0.0.4; charset=utf-8";
     private static final String PLAIN_TEXT = "text/plain; charset=utf-8";
@@ -27,9 +27,9 @@
     /**
      * Returns a handler.
      *
-     * @param metrics the meters
-     * @param ready whether new work may be sent here
-     * @param next serves every other path
+     * @param metrics the metrics registry that {@code /metrics} exposes
+     * @param ready whether new requests may be sent to this daemon
+     * @param next the handler for all other paths
      * @return the handler
      */
     public static OperationsHandler of(
@@ -43,22 +43,22 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) throws Exception {
         switch (exchange.getRequestPath()) {
-            case "/healthz" -> answer(exchange, StatusCodes.OK, PLAIN_TEXT, "ok\n");
-            case "/readyz" -> answerReadiness(exchange);
-            case "/metrics" -> answer(exchange, StatusCodes.OK, PROMETHEUS_TEXT, metrics.scrape());
+            case "/healthz" -> respond(exchange, StatusCodes.OK, PLAIN_TEXT, "ok\n");
+            case "/readyz" -> respondWithReadiness(exchange);
+            case "/metrics" -> respond(exchange, StatusCodes.OK, PROMETHEUS_TEXT, metrics.scrape());
             default -> next.handleRequest(exchange);
         }
     }
 
-    private void answerReadiness(HttpServerExchange exchange) {
+    private void respondWithReadiness(HttpServerExchange exchange) {
         if (ready.getAsBoolean()) {
-            answer(exchange, StatusCodes.OK, PLAIN_TEXT, "ready\n");
+            respond(exchange, StatusCodes.OK, PLAIN_TEXT, "ready\n");
         } else {
-            answer(exchange, StatusCodes.SERVICE_UNAVAILABLE, PLAIN_TEXT, "not ready\n");
+            respond(exchange, StatusCodes.SERVICE_UNAVAILABLE, PLAIN_TEXT, "not ready\n");
         }
     }
 
-    private static void answer(
+    private static void respond(
             HttpServerExchange exchange, int status, String contentType, String body) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, contentType);
--- a/daemon/src/main/java/org/tamaracktrack/daemon/operations/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/operations/package-info.java
@@ -1,2 +1,2 @@
-/** What operators and the balancer read of a daemon over HTTP: health, readiness and metrics. */
+/** Serves health, readiness and metrics over HTTP for operators and the load balancer. */
 package org.tamaracktrack.daemon.operations;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DelayMonitor.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/runtime/DelayMonitor.java
@@ -18,7 +18,9 @@
     private static final Logger LOG = Logger.getLogger("tamaracktrack.delay");
     private static final long INTERVAL_MILLIS = 100;
 
-    /** The scheduling delay that by itself makes a read of the store exceed its time limit. */
+    /**
+     * The total scheduling delay that by itself makes a read of the store exceed its time limit.
+     */
     private static final long LATE_THRESHOLD_MILLIS = 250;
 
     private final SchedulingDelay controlDelay = newDelay();
@@ -80,11 +82,11 @@
     }
 
     /**
-     * Returns whether both threads have run their tasks without a late start since a given time.
-     * May be called on any thread.
+     * Returns whether the total scheduling delay of each thread since a given time is within the
+     * threshold. May be called on any thread.
      *
      * @param sinceMillis the start of the period, by the clock of {@link ControlThread#nowMillis()}
-     * @return false if a thread was late in that period or is late now
+     * @return false if a thread was late beyond the threshold in that period, or is now
      */
     public boolean punctualSince(long sinceMillis) {
         long nowMillis = ControlThread.nowMillis();
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/CallerHandlerTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/CallerHandlerTest.java
@@ -18,7 +18,7 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.message.Message;
-import org.tamaracktrack.daemon.operations.HttpFront;
+import org.tamaracktrack.daemon.operations.DaemonHttpServer;
 
 @Timeout(60)
 class CallerHandlerTest {
@@ -105,8 +105,9 @@
                             entry.role.services(),
                             AccountRates.empty(),
                             new CallerHandler.CallerLimits(1_000, 10, 100));
-            try (HttpFront front =
-                            HttpFront.start(new InetSocketAddress("127.0.0.1", 0), 10, hasty);
+            try (DaemonHttpServer front =
+                            DaemonHttpServer.start(
+                                    new InetSocketAddress("127.0.0.1", 0), 10, hasty);
                     Socket caller = new Socket("127.0.0.1", front.address().getPort())) {
                 String head =
                         "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
--- a/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/entry/EntryFixture.java
@@ -35,7 +35,7 @@
 import org.tamaracktrack.core.placement.PlacementKind;
 import org.tamaracktrack.core.routing.RoutingKind;
 import org.tamaracktrack.daemon.configuration.ConfigurationSource;
-import org.tamaracktrack.daemon.operations.HttpFront;
+import org.tamaracktrack.daemon.operations.DaemonHttpServer;
 import org.tamaracktrack.daemon.operations.OperationsHandler;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.daemon.runtime.DaemonRuntime;
@@ -59,7 +59,7 @@
     final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     final ConfigurationSource configuration;
     final EntryRole role;
-    final HttpFront front;
+    final DaemonHttpServer front;
     private final ControlThread control = ControlThread.of("control");
     private final HttpCaller http = UndertowHttpCaller.of();
     private final HttpClient client =
@@ -81,7 +81,7 @@
                         this.configuration);
         role = EntryRole.start(runtime, RoutingKind.ESTIMATED_WAIT, PlacementKind.LRU);
         front =
-                HttpFront.start(
+                DaemonHttpServer.start(
                         ANY, 20, OperationsHandler.of(metrics, role::ready, role.callers()));
     }
 
