--- a/daemon/src/main/java/org/tamaracktrack/daemon/counters/CounterPublisher.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/counters/CounterPublisher.java
@@ -12,18 +12,22 @@
 import org.tamaracktrack.link.log.LogClient;
 
 /**
- * Publishes the counters of this process in the reports stream, on a thread of its own.
+ * Publishes the counters of this process to the reports stream of the log, on a thread of its own.
  *
- * <p>Each append carries every counter since the process started and a sequence of its own, so that
- * one that is lost, doubled or late changes no sum: the next one says it all again.
+ * <p>Each record contains the cumulative value of every counter since the process started, and a
+ * unique sequence number. A record that is lost, duplicated or late therefore doesn't change the
+ * totals: the next record contains all values again.
  */
 public final class CounterPublisher {
     private static final Logger LOG = Logger.getLogger(CounterPublisher.class);
 
-    /** Unchanged counters are published only each so many periods, to spare the log. */
-    private static final int QUIET_PERIODS = 6;
+    /**
+     * The number of periods after which unchanged counters are published again. Publishing them in
+     * every period would load the log needlessly.
+     */
+    private static final int MAXIMUM_UNCHANGED_PERIODS = 6;
 
-    private static final long RETRY_MILLIS = 200;
+    private static final long RETRY_INTERVAL_MILLIS = 200;
 
     private final LogClient log;
     private final IncarnationId incarnation;
@@ -35,7 +39,7 @@
     private final Thread thread;
     private long sequence;
     private Map<String, Long> published = Map.of();
-    private int quietPeriods;
+    private int unchangedPeriods;
     private boolean reachable = true;
 
     private CounterPublisher(
@@ -54,12 +58,12 @@
     }
 
     /**
-     * Starts to publish.
+     * Starts a publisher. It publishes a record at once, and later ones as counters change.
      *
-     * @param log the log
-     * @param incarnation this process
-     * @param source {@code entry} or the target's name
-     * @param reportMillis the time between records
+     * @param log the log to append to
+     * @param incarnation the identifier of this run of the process
+     * @param source {@code entry}, or the identifier of the target
+     * @param reportMillis the interval between records, in milliseconds
      * @param counters the counters
      * @return the publisher
      */
@@ -91,8 +95,9 @@
     }
 
     private void publishIfDue() {
-        quietPeriods++;
-        if (quietPeriods >= QUIET_PERIODS || !counters.snapshot().equals(published)) {
+        unchangedPeriods++;
+        if (unchangedPeriods >= MAXIMUM_UNCHANGED_PERIODS
+                || !counters.snapshot().equals(published)) {
             publish(false);
         }
     }
@@ -111,7 +116,7 @@
         try {
             log.append(LogStream.REPORTS, entry);
             published = values;
-            quietPeriods = 0;
+            unchangedPeriods = 0;
             reachable(true);
             return true;
         } catch (TamaracktrackException failure) {
@@ -120,27 +125,29 @@
         }
     }
 
-    private void reachable(boolean now) {
-        if (reachable != now) {
-            reachable = now;
-            LOG.infof("event=counters-published reachable=%s", now);
+    private void reachable(boolean nowReachable) {
+        if (reachable != nowReachable) {
+            reachable = nowReachable;
+            LOG.infof("event=counters-published reachable=%s", nowReachable);
         }
     }
 
     /**
-     * Publishes the last record of this process, after everything in progress has ended. Tries
-     * until it is written or the time is up; then a report names this process as missing.
+     * Publishes the final record of this process. Call it when no request is in progress any more.
+     * Retries until the record is written or the time limit has passed; without a final record,
+     * reports list this process as missing.
      *
-     * @param limitMillis how long to try
-     * @return true when it was written
+     * @param limitMillis the time limit in milliseconds
+     * @return true if the final record was written
      */
     public boolean drain(long limitMillis) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMillis);
         stopping.countDown();
         try {
             thread.join(Math.max(1, limitMillis));
-            // Two records with one sequence could carry different counters; the publishing thread
-            // must have ended before this one numbers a record.
+            // The sequence number isn't synchronized. The publishing thread must have ended before
+            // this thread numbers a record, or two records with different counters could get the
+            // same number.
             if (thread.isAlive()) {
                 return false;
             }
@@ -157,7 +164,7 @@
                 LOG.warnf("event=last-counters-lost incarnation=%s", incarnation);
                 return false;
             }
-            TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MILLIS);
         }
         return true;
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/counters/Counters.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/counters/Counters.java
@@ -7,14 +7,14 @@
 import java.util.stream.Collectors;
 import org.tamaracktrack.core.report.CounterName;
 
-/** The cumulative counters of this process. For any thread. */
+/** Holds the cumulative counters of this process. Safe for use by several threads. */
 public final class Counters {
     private final ConcurrentHashMap<String, LongAdder> values = new ConcurrentHashMap<>();
 
     private Counters() {}
 
     /**
-     * Returns counters that are all 0.
+     * Returns an instance in which all counters are 0.
      *
      * @return the counters
      */
@@ -23,20 +23,20 @@
     }
 
     /**
-     * Adds to a counter.
+     * Increases a counter.
      *
-     * @param name the counter
-     * @param delta how much, 0 or more
+     * @param name the name of the counter
+     * @param delta the increase, 0 or more
      */
     public void add(CounterName name, long delta) {
         add(name.text(), delta);
     }
 
     /**
-     * Adds to a counter.
+     * Increases a counter.
      *
      * @param name the text of a {@link CounterName}
-     * @param delta how much, 0 or more
+     * @param delta the increase, 0 or more
      */
     public void add(String name, long delta) {
         Objects.requireNonNull(name, "name is null");
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Returns the counters that are not 0.
+     * Returns the current values of all counters that are not 0.
      *
-     * @return the counters by name
+     * @return the values by counter name
      */
     public Map<String, Long> snapshot() {
         return values.entrySet().stream()
--- a/daemon/src/main/java/org/tamaracktrack/daemon/counters/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/counters/package-info.java
@@ -1,2 +1,2 @@
-/** A process's counters and their publication in the reports stream. */
+/** Holds the counters of a process and publishes them to the reports stream of the log. */
 package org.tamaracktrack.daemon.counters;
--- a/daemon/src/test/java/org/tamaracktrack/daemon/counters/CounterPublisherTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/counters/CounterPublisherTest.java
@@ -10,7 +10,7 @@
 import org.tamaracktrack.daemon.duty.DutyLog;
 
 class CounterPublisherTest {
-    private static final String NAME = "requests|north|approval|interactive|in_class";
+    private static final String COUNTER_NAME = "requests|north|approval|interactive|in_class";
 
     private final DutyLog log = new DutyLog();
     private final Counters counters = Counters.empty();
@@ -23,20 +23,20 @@
         return log.entries(LogStream.REPORTS, CountersPublished.class);
     }
 
-    // The log is out while requests are served. What was counted then must be in the records after
-    // the outage, since nobody else knows it.
+    // The log is unavailable while requests are served. The records after the outage must include
+    // what was counted during it, because the values are stored nowhere else.
     @Test
-    void shouldSayEverythingAgainWhenTheLogWasOut() {
+    void shouldPublishTheAccumulatedCountersAfterTheLogWasUnavailable() {
         CounterPublisher publisher = start();
         log.await(LogStream.REPORTS, CountersPublished.class, record -> true);
         log.out(true);
-        counters.add(NAME, 7);
+        counters.add(COUNTER_NAME, 7);
 
         log.out(false);
         log.await(
                 LogStream.REPORTS,
                 CountersPublished.class,
-                record -> record.counters().getOrDefault(NAME, 0L) == 7);
+                record -> record.counters().getOrDefault(COUNTER_NAME, 0L) == 7);
 
         publisher.drain(1_000);
         assertThat(published().stream().map(CountersPublished::sequence).toList())
@@ -44,20 +44,20 @@
     }
 
     @Test
-    void shouldEndWithALastRecordOfEverythingWhenDrained() {
+    void shouldPublishOneFinalRecordWithAllCountersWhenDrained() {
         CounterPublisher publisher = start();
-        counters.add(NAME, 3);
+        counters.add(COUNTER_NAME, 3);
 
         assertThat(publisher.drain(1_000)).isTrue();
 
         CountersPublished last = published().get(published().size() - 1);
         assertThat(last.last()).isTrue();
-        assertThat(last.counters()).containsExactly(NAME, 3L);
+        assertThat(last.counters()).containsExactly(COUNTER_NAME, 3L);
         assertThat(published().stream().filter(CountersPublished::last).count()).isEqualTo(1);
     }
 
     @Test
-    void shouldSayThatTheLastRecordIsLostWhenTheLogStaysOut() {
+    void shouldReportTheFinalRecordAsLostWhenTheLogStaysUnavailable() {
         log.out(true);
         CounterPublisher publisher = start();
 
