--- a/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/DaemonInstance.java
@@ -34,24 +34,24 @@
 import org.tamaracktrack.link.log.LogClient;
 import sun.misc.Signal;
 
-/** The running daemon: its parts, and its end. */
-final class DaemonProcess {
-    private static final Logger LOG = Logger.getLogger(DaemonProcess.class);
-    private static final int CUT = 1;
-    private static final int STOPPED_AT_ONCE = 4;
+/** A running daemon. Starts the components of its role and stops them on a signal. */
+final class DaemonInstance {
+    private static final Logger LOG = Logger.getLogger(DaemonInstance.class);
+    private static final int EXIT_REQUESTS_CUT = 1;
+    private static final int EXIT_FORCED_STOP = 4;
 
     private final DaemonRuntime runtime;
     private final DaemonRole role;
-    private final DaemonHttpServer front;
-    private final AtomicInteger signals = new AtomicInteger();
+    private final DaemonHttpServer httpServer;
+    private final AtomicInteger receivedSignals = new AtomicInteger();
 
-    private DaemonProcess(DaemonRuntime runtime, DaemonRole role, DaemonHttpServer front) {
+    private DaemonInstance(DaemonRuntime runtime, DaemonRole role, DaemonHttpServer httpServer) {
         this.runtime = runtime;
         this.role = role;
-        this.front = front;
+        this.httpServer = httpServer;
     }
 
-    static DaemonProcess start(DaemonSettings settings) {
+    static DaemonInstance start(DaemonSettings settings) {
         IncarnationId incarnation = incarnation(settings.settings());
         LOG.infof("event=start incarnation=%s %s", incarnation, settings.describe());
         ControlThread control = ControlThread.of("control");
@@ -67,11 +67,11 @@
             EntryRole entry = EntryRole.start(runtime, settings.routing(), settings.placement());
             ConfigurationSnapshotter.start(
                     configuration, log, control, () -> entry.holds(Duty.REPORTER));
-            return new DaemonProcess(runtime, entry, front(runtime, entry, entry.callers()));
+            return new DaemonInstance(runtime, entry, httpServer(runtime, entry, entry.callers()));
         }
         TargetRole target = TargetRole.start(runtime, settings.admission());
-        return new DaemonProcess(
-                runtime, target, front(runtime, target, ResponseCodeHandler.HANDLE_404));
+        return new DaemonInstance(
+                runtime, target, httpServer(runtime, target, ResponseCodeHandler.HANDLE_404));
     }
 
     private static IncarnationId incarnation(Settings settings) {
@@ -102,7 +102,7 @@
                 configuration);
     }
 
-    private static DaemonHttpServer front(
+    private static DaemonHttpServer httpServer(
             DaemonRuntime runtime, DaemonRole role, HttpHandler next) {
         try {
             return DaemonHttpServer.start(
@@ -119,7 +119,7 @@
 
     String readyLine() {
         return "ready http="
-                + IpAddresses.format(front.address())
+                + IpAddresses.format(httpServer.address())
                 + " peer="
                 + IpAddresses.format(role.peerAddress());
     }
@@ -130,22 +130,22 @@
     }
 
     private void onSignal() {
-        if (signals.incrementAndGet() == 1) {
+        if (receivedSignals.incrementAndGet() == 1) {
             new Thread(this::stop, "stop").start();
         } else {
             LOG.warnf("event=stopped-at-once cut=%d", role.requestsInProgress());
             System.err.println("stopped at once, requests cut: " + role.requestsInProgress());
-            Runtime.getRuntime().halt(STOPPED_AT_ONCE);
+            Runtime.getRuntime().halt(EXIT_FORCED_STOP);
         }
     }
 
     private void stop() {
-        boolean whole = role.drain();
-        front.close();
+        boolean nothingCut = role.drain();
+        httpServer.close();
         runtime.transport().close();
         runtime.http().close();
         runtime.control().close();
-        LOG.infof("event=stopped whole=%s", whole);
-        System.exit(whole ? 0 : CUT);
+        LOG.infof("event=stopped whole=%s", nothingCut);
+        System.exit(nothingCut ? 0 : EXIT_REQUESTS_CUT);
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/Main.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/Main.java
@@ -6,17 +6,17 @@
 import org.tamaracktrack.daemon.settings.DaemonSettings;
 import org.tamaracktrack.daemon.settings.SettingsParser;
 
-/** Entry point of the daemon. */
+/** Starts a daemon from the command line. */
 public final class Main {
-    private static final int WRONG_SETTINGS = 2;
-    private static final int START_FAILED = 3;
+    private static final int EXIT_INVALID_SETTINGS = 2;
+    private static final int EXIT_START_FAILED = 3;
 
     private Main() {}
 
     /**
-     * Runs the daemon until it is told to stop.
+     * Runs the daemon until it is stopped by a signal.
      *
-     * @param arguments the command line
+     * @param arguments the command line arguments
      */
     public static void main(String[] arguments) {
         int status = run(arguments, System.getenv(), System.out, System.err);
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Returns the status to exit with, or -1 when the daemon runs. */
+    /** Returns the exit status, or -1 if the daemon was started and keeps running. */
     static int run(
             String[] arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
         SettingsParser.Result result = SettingsParser.parse(arguments, environment);
@@ -33,7 +33,7 @@
             invalid.problems().forEach(err::println);
             err.println();
             err.println(SettingsParser.usage());
-            return WRONG_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
         DaemonSettings settings = ((SettingsParser.Valid) result).settings();
         if (settings.checkOnly()) {
@@ -45,14 +45,14 @@
 
     private static int start(DaemonSettings settings, PrintStream out, PrintStream err) {
         try {
-            DaemonProcess process = DaemonProcess.start(settings);
+            DaemonInstance process = DaemonInstance.start(settings);
             process.stopOnSignals();
             out.println(process.readyLine());
             out.flush();
             return -1;
         } catch (TamaracktrackException failure) {
             err.println("start failed: " + failure.getMessage());
-            return START_FAILED;
+            return EXIT_START_FAILED;
         }
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/connection/CallerConnection.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/connection/CallerConnection.java
@@ -35,7 +35,8 @@
      * Returns the connection of an exchange, and registers it with its first exchange.
      *
      * @param exchange the exchange
-     * @param openConnections how many connections there are
+     * @param openConnections the number of open connections; incremented for a new connection and
+     *     decremented when it closes
      * @return the connection
      */
     public static CallerConnection of(HttpServerExchange exchange, AtomicInteger openConnections) {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/package-info.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon's entry point: reads the settings and starts one role. */
+/** Contains the daemon's main class, which reads the settings and starts one role. */
 package org.tamaracktrack.daemon;
