--- a/bench/src/main/java/org/tamaracktrack/bench/slope/RecordSlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/RecordSlopes.java
@@ -23,7 +23,7 @@
 import org.tamaracktrack.core.report.ReportRollUp;
 import org.tamaracktrack.core.report.RequestOutcome;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
 /** The size of each message and record, and the time to write and read it. */
 final class RecordSlopes {
@@ -215,12 +215,15 @@
                         new Fleet(60, 110),
                         new Fleet(300, 550),
                         new Fleet(600, 1_100))) {
-            String json = Documents.canonicalJson(tree(fleet));
+            String json = ConfigurationDocuments.canonicalJson(tree(fleet));
             String size = fleet.models() + " models, " + fleet.targets() + " targets";
             table.row(size, json.length(), "as JSON");
             table.row(
                     size + ", checked and expanded",
-                    Cost.of(() -> ConfigurationReader.read(Documents.parseJson(json))));
+                    Cost.of(
+                            () ->
+                                    ConfigurationReader.read(
+                                            ConfigurationDocuments.parseJson(json))));
         }
     }
 
--- a/cli/src/main/java/org/tamaracktrack/cli/command/DiffCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/DiffCommand.java
@@ -13,7 +13,7 @@
 import org.tamaracktrack.core.config.DocumentDifference;
 import org.tamaracktrack.core.config.DocumentDifference.Change;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
 /** Compares a document with the one in force. */
 @Parameters(commandDescription = "compare a document with the one in force")
@@ -37,10 +37,12 @@
         Output output = output(environment);
         // Through the same text form as the published one, so that 1 and 1L are no difference.
         Map<String, Object> wanted =
-                Documents.parseJson(Documents.canonicalJson(document.document()));
+                ConfigurationDocuments.parseJson(
+                        ConfigurationDocuments.canonicalJson(document.document()));
         ConfigurationInForce inForce = log().inForce(environment);
         List<Change> changes =
-                DocumentDifference.between(Documents.parseJson(inForce.document()), wanted);
+                DocumentDifference.between(
+                        ConfigurationDocuments.parseJson(inForce.document()), wanted);
         Table table = Table.of("path", "in force", "file");
         changes.forEach(
                 change -> table.row(change.path(), text(change.before()), text(change.after())));
--- a/cli/src/main/java/org/tamaracktrack/cli/command/DocumentOptions.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/DocumentOptions.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
 /** The document that a command works on. */
 final class DocumentOptions {
@@ -39,7 +39,8 @@
             throw TamaracktrackException.of(
                     ErrorCode.INVALID_SETTINGS, "there is no option " + files.get(0));
         }
-        Map<String, Object> tree = new LinkedHashMap<>(Documents.parseYaml(read(files.get(0))));
+        Map<String, Object> tree =
+                new LinkedHashMap<>(ConfigurationDocuments.parseYaml(read(files.get(0))));
         parameters.forEach(parameter -> override(tree, parameter));
         return tree;
     }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
@@ -20,7 +20,7 @@
 import org.tamaracktrack.core.config.Warning;
 import org.tamaracktrack.core.id.PublicationId;
 import org.tamaracktrack.core.log.LogEntry.Publication;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 import org.tamaracktrack.link.log.LogClient;
 
 /** Publishes a document and says what came of it after having read it back. */
@@ -90,7 +90,11 @@
                         .map(PublicationId::of)
                         .orElseGet(environment.publications());
         return new Publication(
-                id, base, Documents.canonicalJson(tree), log().operator(environment), note);
+                id,
+                base,
+                ConfigurationDocuments.canonicalJson(tree),
+                log().operator(environment),
+                note);
     }
 
     private static ExitCode report(Output output, Publication wanted, ConfigurationEvent outcome) {
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ShowCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ShowCommand.java
@@ -10,7 +10,7 @@
 import org.tamaracktrack.cli.output.OutputFormat;
 import org.tamaracktrack.core.config.ConfigurationInForce;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
 /** Shows the document in force. */
 @Parameters(commandDescription = "show the document in force, ready to be edited and published")
@@ -30,7 +30,7 @@
     public ExitCode run(Environment environment) {
         Output output = output(environment);
         ConfigurationInForce inForce = log().inForce(environment);
-        Map<String, Object> tree = Documents.parseJson(inForce.document());
+        Map<String, Object> tree = ConfigurationDocuments.parseJson(inForce.document());
         if (output.format() == OutputFormat.JSON) {
             Map<String, Object> result = new LinkedHashMap<>();
             result.put("version", inForce.version());
--- a/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
@@ -11,12 +11,13 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.id.PublicationId;
 import org.tamaracktrack.core.log.LogStream;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 import org.tamaracktrack.link.log.LogClient;
 
 /** The configuration stream as every daemon reads it. */
 public final class ConfigurationLog {
-    private final ConfigurationRegister register = ConfigurationRegister.of(Documents::parseJson);
+    private final ConfigurationRegister register =
+            ConfigurationRegister.of(ConfigurationDocuments::parseJson);
     private final List<ConfigurationEvent> events = new ArrayList<>();
     private final StreamReader reader;
 
--- a/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
+++ b/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
@@ -19,7 +19,7 @@
 import org.tamaracktrack.core.id.PublicationId;
 import org.tamaracktrack.core.log.LogEntry.Publication;
 import org.tamaracktrack.core.log.LogStream;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
 class PublisherTest {
     private static final String DOCUMENT = sample();
@@ -29,7 +29,7 @@
     private static String sample() {
         try {
             String yaml = Files.readString(Path.of("../docs/sample-configuration.yaml"));
-            return Documents.canonicalJson(Documents.parseYaml(yaml));
+            return ConfigurationDocuments.canonicalJson(ConfigurationDocuments.parseYaml(yaml));
         } catch (IOException failure) {
             throw new AssertionError(failure);
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/FollowedConfiguration.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/FollowedConfiguration.java
@@ -14,7 +14,7 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.daemon.runtime.LogFollower;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 import org.tamaracktrack.link.log.LogClient;
 
 /**
@@ -52,7 +52,7 @@
 
     private FollowedConfiguration(ControlThread control) {
         this.control = control;
-        this.register = ConfigurationRegister.of(Documents::parseJson);
+        this.register = ConfigurationRegister.of(ConfigurationDocuments::parseJson);
     }
 
     /**
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DemandExchange.java
@@ -90,7 +90,7 @@
         Objects.requireNonNull(meter, "meter is null");
         DemandExchange exchange =
                 new DemandExchange(process, topics, part, control, lease, relay, book, meter);
-        topics.era().onRestored(() -> control.post(exchange::restored));
+        topics.era().addRestoreListener(() -> control.post(exchange::restored));
         control.post(() -> relay.onTold(part, exchange::told));
         control.every(TICK_MILLIS, exchange::tick);
         return exchange;
@@ -202,7 +202,7 @@
         }
         long nowMillis = ControlThread.nowMillis();
         batch.records().forEach(record -> add(record, nowMillis));
-        next = batch.next();
+        next = batch.nextOffset();
         if (batch.records().isEmpty()) {
             read();
         } else {
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/DutyRecords.java
@@ -16,7 +16,7 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.lease.ConditionalLease.Contact;
 import org.tamaracktrack.core.lease.ConditionalLease.LeaseRecord;
-import org.tamaracktrack.link.codec.Trees;
+import org.tamaracktrack.link.codec.JsonFields;
 
 /** The records of the duty's topic. */
 final class DutyRecords {
@@ -56,15 +56,15 @@
                                                                     .collect(Collectors.toList())));
                             fields.put("models", adapters);
                         });
-        return Trees.write(fields);
+        return JsonFields.write(fields);
     }
 
     static Optional<Holding> holding(byte[] bytes) {
         try {
-            return Trees.parse(bytes)
+            return JsonFields.parse(bytes)
                     .flatMap(
                             tree ->
-                                    Trees.text(tree, "target")
+                                    JsonFields.text(tree, "target")
                                             .map(target -> holding(TargetId.of(target), tree)));
         } catch (TamaracktrackException unreadable) {
             // Only our own daemons say this; one with names of a newer version says nothing of use,
@@ -74,7 +74,7 @@
     }
 
     private static Holding holding(TargetId target, JsonNode tree) {
-        long started = Trees.whole(tree, "started").orElse(0L);
+        long started = JsonFields.integer(tree, "started").orElse(0L);
         return new Holding(new TargetIncarnation(target, started), models(tree));
     }
 
@@ -91,7 +91,7 @@
                                         ModelId.of(name),
                                         new HeldModel(
                                                 ModelId.of(name),
-                                                Trees.elements(models, name)
+                                                JsonFields.elements(models, name)
                                                         .map(JsonNode::asText)
                                                         .map(AdapterId::of)
                                                         .collect(Collectors.toSet()))));
@@ -111,37 +111,37 @@
                             fields.put("address", contact.address());
                             fields.put("secret", contact.secret());
                         });
-        return Trees.write(fields);
+        return JsonFields.write(fields);
     }
 
     static Optional<LeaseRecord> lease(byte[] bytes) {
-        return Trees.parse(bytes)
+        return JsonFields.parse(bytes)
                 .flatMap(
                         tree ->
-                                Trees.text(tree, "holder")
+                                JsonFields.text(tree, "holder")
                                         .map(
                                                 holder ->
                                                         new LeaseRecord(
                                                                 holder,
-                                                                Trees.whole(tree, "term")
+                                                                JsonFields.integer(tree, "term")
                                                                         .orElse(0L),
-                                                                Trees.flag(tree, "claim"),
-                                                                Trees.flag(tree, "release"),
-                                                                Trees.whole(tree, "nonce")
+                                                                JsonFields.flag(tree, "claim"),
+                                                                JsonFields.flag(tree, "release"),
+                                                                JsonFields.integer(tree, "nonce")
                                                                         .orElse(0L),
                                                                 contact(tree))));
     }
 
     private static Optional<Contact> contact(JsonNode tree) {
-        return Trees.text(tree, "address")
+        return JsonFields.text(tree, "address")
                 .flatMap(
                         address ->
-                                Trees.text(tree, "secret")
+                                JsonFields.text(tree, "secret")
                                         .map(secret -> new Contact(address, secret)));
     }
 
     static byte[] encode(DemandRecord content) {
-        return Trees.write(
+        return JsonFields.write(
                 Map.of(
                         "process", content.process(),
                         "urgent", texts(content.seen().urgent()),
@@ -156,10 +156,10 @@
     }
 
     static Optional<DemandRecord> demand(byte[] bytes) {
-        return Trees.parse(bytes)
+        return JsonFields.parse(bytes)
                 .flatMap(
                         tree ->
-                                Trees.text(tree, "process")
+                                JsonFields.text(tree, "process")
                                         .map(process -> new DemandRecord(process, seen(tree))));
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/copies/LeaseDriver.java
@@ -76,7 +76,7 @@
         Objects.requireNonNull(lease, "lease is null");
         Objects.requireNonNull(relay, "relay is null");
         LeaseDriver driver = new LeaseDriver(topics, part, control, lease, relay);
-        topics.era().onRestored(() -> control.post(driver::restored));
+        topics.era().addRestoreListener(() -> control.post(driver::restored));
         control.post(() -> relay.onRecords(part, driver.new Relayed()));
         control.every(TICK_MILLIS, driver::tick);
         return driver;
@@ -221,7 +221,7 @@
             long at = offset++;
             DutyRecords.lease(record).ifPresent(content -> lease.read(at, content, nowMillis));
         }
-        if (batch.next() >= batch.end()) {
+        if (batch.nextOffset() >= batch.end()) {
             lease.readAll(nowMillis);
         } else {
             read();
--- a/daemon/src/main/java/org/tamaracktrack/daemon/gateway/KeyedFollower.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/gateway/KeyedFollower.java
@@ -129,7 +129,7 @@
         public void onBatch(RecordBatch batch, long wholeAtMillis) {
             relayedAtMillis = Math.max(relayedAtMillis, wholeAtMillis);
             heardAtMillis = Math.max(heardAtMillis, wholeAtMillis);
-            relayedNext = Math.max(relayedNext, batch.next());
+            relayedNext = Math.max(relayedNext, batch.nextOffset());
             if (next == NOT_LISTED) {
                 return;
             }
@@ -190,7 +190,7 @@
             Watch watch) {
         KeyedFollower follower =
                 new KeyedFollower(topics, part, control, pace, listener, relay, watch);
-        topics.era().onRestored(() -> control.post(follower::restored));
+        topics.era().addRestoreListener(() -> control.post(follower::restored));
         control.post(
                 () -> {
                     relay.onRecords(part, follower.new Relayed());
@@ -413,8 +413,8 @@
         }
         contact.back();
         RecordBatch batch = done.value();
-        boolean nothingNew = batch.next() <= next;
-        boolean moreIsThere = batch.next() < batch.end();
+        boolean nothingNew = batch.nextOffset() <= next;
+        boolean moreIsThere = batch.nextOffset() < batch.end();
         take(batch, answeredAt(batch, waitedMillis), "read");
         if (nothingNew || moreIsThere) {
             follow();
@@ -433,7 +433,9 @@
         relay.publish(
                 part,
                 batch,
-                batch.next() < batch.end() ? Message.Records.UNKNOWN_MILLIS : at.steadyMillis());
+                batch.nextOffset() < batch.end()
+                        ? Message.Records.UNKNOWN_MILLIS
+                        : at.steadyMillis());
         deliver(batch, source);
         whole(batch, at);
     }
@@ -459,7 +461,7 @@
     }
 
     private void whole(RecordBatch batch, Moment at) {
-        if (batch.next() >= batch.end()) {
+        if (batch.nextOffset() >= batch.end()) {
             contact.wholeAt(at);
         }
     }
@@ -470,7 +472,7 @@
                 KeyedRecords.decode(topics, part, batch).stream()
                         .filter(record -> record.offset() >= next)
                         .collect(Collectors.toList());
-        next = Math.max(next, batch.next());
+        next = Math.max(next, batch.nextOffset());
         if (unread.isEmpty()) {
             return;
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/EndRecord.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/quarantine/EndRecord.java
@@ -11,7 +11,7 @@
 import org.tamaracktrack.core.id.TargetId;
 import org.tamaracktrack.core.quarantine.RequestFingerprint;
 import org.tamaracktrack.core.quarantine.TargetEnd;
-import org.tamaracktrack.link.codec.Trees;
+import org.tamaracktrack.link.codec.JsonFields;
 
 /**
  * The record of a target that ended under a request. Its key names both, so that two daemons that
@@ -54,22 +54,22 @@
     }
 
     byte[] value() {
-        return Trees.write(Map.of(RAN, end.ran(), AT, atMillis));
+        return JsonFields.write(Map.of(RAN, end.ran(), AT, atMillis));
     }
 
     static Optional<EndRecord> of(String key, byte[] value) {
-        return end(key).flatMap(end -> Trees.parse(value).flatMap(fields -> of(end, fields)));
+        return end(key).flatMap(end -> JsonFields.parse(value).flatMap(fields -> of(end, fields)));
     }
 
     private static Optional<EndRecord> of(TargetEnd end, JsonNode fields) {
-        return Trees.whole(fields, AT)
+        return JsonFields.integer(fields, AT)
                 .map(
                         at ->
                                 new EndRecord(
                                         new TargetEnd(
                                                 end.request(),
                                                 end.target(),
-                                                Trees.flag(fields, RAN)),
+                                                JsonFields.flag(fields, RAN)),
                                         at));
     }
 }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/Followers.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/Followers.java
@@ -128,7 +128,7 @@
         private Outgoing notice() {
             return new Outgoing(
                     part,
-                    new RecordBatch(batch.next(), List.of(), batch.end()),
+                    new RecordBatch(batch.nextOffset(), List.of(), batch.end()),
                     Message.Records.UNKNOWN_MILLIS);
         }
     }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
@@ -395,7 +395,7 @@
             }
             // Offsets of another era stand for other records.
             if (records.era() > era.newest()) {
-                era.note(records.era());
+                era.observe(records.era());
             }
             if (records.era() != era.newest()) {
                 return;
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineClient.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineClient.java
@@ -13,11 +13,11 @@
 import org.tamaracktrack.core.target.OrderAction;
 import org.tamaracktrack.daemon.runtime.ControlThread;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.link.http.HttpAnswer;
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCallException;
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.HttpFailure;
+import org.tamaracktrack.link.http.HttpResponse;
 
 /** Reads an engine's inventory and sends it orders, each on a thread of its own. */
 final class EngineClient implements AutoCloseable {
@@ -70,7 +70,7 @@
     private void readNow(InetSocketAddress address, Consumer<Reading> reader, Runnable onFailure) {
         Moment requestedAt = now();
         try {
-            HttpAnswer answer =
+            HttpResponse answer =
                     http.call(HttpCall.get(address, "/admin/inventory", TIMEOUT_MILLIS));
             if (answer.status() == OK) {
                 reader.accept(
@@ -102,7 +102,7 @@
             return;
         }
         try {
-            HttpAnswer answer =
+            HttpResponse answer =
                     http.call(HttpCall.post(address, "/admin/orders", body, TIMEOUT_MILLIS));
             LOG.debugf("event=order-answered status=%d", answer.status());
         } catch (HttpCallException failure) {
--- a/daemon/src/test/java/org/tamaracktrack/daemon/configuration/FollowedConfigurationTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/configuration/FollowedConfigurationTest.java
@@ -23,7 +23,7 @@
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.daemon.configuration.ConfigurationSource.VersionedConfiguration;
 import org.tamaracktrack.daemon.runtime.ControlThread;
-import org.tamaracktrack.link.codec.Documents;
+import org.tamaracktrack.link.codec.ConfigurationDocuments;
 import org.tamaracktrack.link.frame.Connection;
 import org.tamaracktrack.link.frame.ConnectionHandler;
 import org.tamaracktrack.link.frame.XnioFrameTransport;
@@ -41,7 +41,7 @@
     @BeforeEach
     void publishOnce() throws IOException {
         String yaml = Files.readString(Path.of("../docs/sample-configuration.yaml"));
-        document = Documents.canonicalJson(Documents.parseYaml(yaml));
+        document = ConfigurationDocuments.canonicalJson(ConfigurationDocuments.parseYaml(yaml));
         publish("p-0", -1, document);
         followed = follow();
         followed.addListener(versions::add);
--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LastMomentTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LastMomentTest.java
@@ -41,11 +41,11 @@
 import org.tamaracktrack.core.route.ServingConfiguration;
 import org.tamaracktrack.core.route.WeightedService;
 import org.tamaracktrack.daemon.relay.TestWorker;
-import org.tamaracktrack.link.http.HttpAnswer;
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.HttpFailure;
 import org.tamaracktrack.link.http.HttpListener;
+import org.tamaracktrack.link.http.HttpResponse;
 import org.tamaracktrack.link.http.HttpStream;
 import org.xnio.XnioWorker;
 
@@ -65,7 +65,7 @@
     /** Leaves each call waiting for its connection. */
     private final class WaitingCaller implements HttpCaller {
         @Override
-        public HttpAnswer call(HttpCall call) {
+        public HttpResponse call(HttpCall call) {
             throw new AssertionError("nobody waits for an answer here");
         }
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LinkCheckTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/gateway/LinkCheckTest.java
@@ -18,10 +18,10 @@
 import org.tamaracktrack.core.id.DataCentreId;
 import org.tamaracktrack.core.id.ServiceId;
 import org.tamaracktrack.core.id.TargetId;
-import org.tamaracktrack.link.http.HttpAnswer;
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.HttpListener;
+import org.tamaracktrack.link.http.HttpResponse;
 import org.tamaracktrack.link.http.HttpStream;
 
 class LinkCheckTest {
@@ -35,7 +35,7 @@
     /** Notes who is tried. */
     private final class Caller implements HttpCaller {
         @Override
-        public HttpAnswer call(HttpCall call) {
+        public HttpResponse call(HttpCall call) {
             throw new AssertionError("nothing is called here");
         }
 
--- a/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeHttp.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/target/FakeHttp.java
@@ -20,12 +20,12 @@
 import org.tamaracktrack.core.target.EngineOrder;
 import org.tamaracktrack.core.target.OrderKind;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.link.http.HttpAnswer;
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCallException;
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.HttpFailure;
 import org.tamaracktrack.link.http.HttpListener;
+import org.tamaracktrack.link.http.HttpResponse;
 import org.tamaracktrack.link.http.HttpStream;
 
 /** An engine behind the HTTP port: orders take effect at once, answers come as a test says. */
@@ -171,15 +171,15 @@
     }
 
     @Override
-    public synchronized HttpAnswer call(HttpCall request) {
+    public synchronized HttpResponse call(HttpCall request) {
         if (!reachable) {
             throw HttpCallException.of(HttpFailure.NOT_SENT, "unreachable");
         }
         if (request.path().equals("/admin/orders")) {
             take(Codecs.decode(Codecs.json(), request.body(), EngineOrder.class));
-            return new HttpAnswer(202, Map.of(), new byte[0]);
+            return new HttpResponse(202, Map.of(), new byte[0]);
         }
-        return new HttpAnswer(200, Map.of(), Codecs.encode(Codecs.json(), inventory()));
+        return new HttpResponse(200, Map.of(), Codecs.encode(Codecs.json(), inventory()));
     }
 
     private void take(EngineOrder order) {
--- a/link/src/main/java/org/tamaracktrack/link/codec/Codecs.java
+++ b/link/src/main/java/org/tamaracktrack/link/codec/Codecs.java
@@ -15,7 +15,7 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Encodes and decodes records. Decoding ignores fields it does not know. */
+/** Encodes and decodes values as JSON, YAML or MessagePack. Decoding ignores unknown fields. */
 public final class Codecs {
     private static final int MAXIMUM_DEPTH = 100;
     private static final ObjectMapper JSON =
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Returns the YAML mapper; it reads JSON too.
+     * Returns the YAML mapper, which also reads JSON.
      *
      * @return the mapper
      */
@@ -70,10 +70,10 @@
     /**
      * Encodes a value.
      *
-     * @param mapper the codec
+     * @param mapper the mapper of the format
      * @param value the value
-     * @return the bytes
-     * @throws TamaracktrackException with {@code INTERNAL} when the value has no encoding
+     * @return the encoded bytes
+     * @throws TamaracktrackException with {@code INTERNAL} if the value can't be encoded
      */
     public static byte[] encode(ObjectMapper mapper, Object value) {
         Objects.requireNonNull(value, "value is null");
@@ -90,12 +90,13 @@
     /**
      * Decodes a value.
      *
-     * @param mapper the codec
-     * @param bytes the bytes
+     * @param mapper the mapper of the format
+     * @param bytes the encoded bytes
      * @param type the type of the value
      * @param <T> the type of the value
      * @return the value
-     * @throws TamaracktrackException with {@code BAD_REQUEST} when the bytes are no such value
+     * @throws TamaracktrackException with {@code BAD_REQUEST} if the bytes don't encode a value of
+     *     this type
      */
     public static <T> T decode(ObjectMapper mapper, byte[] bytes, Class<T> type) {
         Objects.requireNonNull(bytes, "bytes is null");
--- a/link/src/main/java/org/tamaracktrack/link/codec/Documents.java
+++ b/link/src/main/java/org/tamaracktrack/link/codec/ConfigurationDocuments.java
@@ -11,49 +11,49 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Parses configuration documents, and writes them in the form in which they are published. */
-public final class Documents {
-    /** The largest document that is read, in bytes. */
+/** Parses configuration documents and serializes them to the form in which they are published. */
+public final class ConfigurationDocuments {
+    /** The maximum size of a document, in bytes. */
     public static final int MAXIMUM_BYTES = 1 << 20;
 
-    private Documents() {}
+    private ConfigurationDocuments() {}
 
     /**
-     * Parses JSON.
+     * Parses a document in JSON.
      *
-     * @param document the text
-     * @return the tree
-     * @throws TamaracktrackException with {@code INVALID_CONFIGURATION} when it is no JSON map, has
-     *     a key twice or is too large
+     * @param document the text of the document
+     * @return the values by key
+     * @throws TamaracktrackException with {@code INVALID_CONFIGURATION} if the document is not a
+     *     JSON object, contains a duplicate key or is too large
      */
     public static Map<String, Object> parseJson(String document) {
         return parse(Codecs.json(), document);
     }
 
     /**
-     * Parses YAML, of which JSON is a part.
+     * Parses a document in YAML, which includes JSON.
      *
-     * @param document the text
-     * @return the tree
-     * @throws TamaracktrackException with {@code INVALID_CONFIGURATION} when it is no YAML map, has
-     *     a key twice or is too large
+     * @param document the text of the document
+     * @return the values by key
+     * @throws TamaracktrackException with {@code INVALID_CONFIGURATION} if the document is not a
+     *     YAML map, contains a duplicate key or is too large
      */
     public static Map<String, Object> parseYaml(String document) {
         return parse(Codecs.yaml(), document);
     }
 
     /**
-     * Writes a document as JSON with its keys in order, so that equal documents are equal texts.
+     * Serializes a document as JSON with sorted keys, so that equal documents have equal texts.
      *
-     * @param tree the document
-     * @return the text
+     * @param tree the values by key
+     * @return the JSON text
      */
     public static String canonicalJson(Map<String, Object> tree) {
         return new String(Codecs.encode(Codecs.json(), tree), StandardCharsets.UTF_8);
     }
 
-    // Of a key that stands twice the parser would keep the last without a word, and the operator
-    // would believe the first to be in force.
+    // By default the parser silently keeps the last of several values of a key. An operator might
+    // then take the first one to be in force, so duplicates are rejected.
     private static Map<String, Object> parse(ObjectMapper mapper, String document) {
         Objects.requireNonNull(document, "document is null");
         if (document.getBytes(StandardCharsets.UTF_8).length > MAXIMUM_BYTES) {
@@ -69,13 +69,13 @@
                 throw failure("the document is empty", null);
             }
             return tree;
-        } catch (IOException broken) {
-            throw failure("the document can't be parsed: " + firstLine(broken), broken);
+        } catch (IOException failure) {
+            throw failure("the document can't be parsed: " + firstLine(failure), failure);
         }
     }
 
-    private static String firstLine(Exception broken) {
-        return String.valueOf(broken.getMessage()).lines().findFirst().orElse("no details");
+    private static String firstLine(Exception failure) {
+        return String.valueOf(failure.getMessage()).lines().findFirst().orElse("no details");
     }
 
     private static TamaracktrackException failure(String message, Exception cause) {
--- a/link/src/main/java/org/tamaracktrack/link/codec/Trees.java
+++ b/link/src/main/java/org/tamaracktrack/link/codec/JsonFields.java
@@ -8,18 +8,18 @@
 import java.util.stream.Stream;
 import java.util.stream.StreamSupport;
 
-/** Reads JSON documents whose fields may be missing or of another type. */
-public final class Trees {
+/** Reads fields of JSON documents that may be missing or have another type than expected. */
+public final class JsonFields {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private Trees() {}
+    private JsonFields() {}
 
-    /** Parses a document; empty when it is no JSON. */
+    /** Parses a document. Returns empty if it is not valid JSON. */
     public static Optional<JsonNode> parse(byte[] document) {
         try {
             return Optional.ofNullable(MAPPER.readTree(document));
         } catch (IOException unreadable) {
-            // The callers say which document it was, and go on with what they knew before.
+            // The callers log which document it was and keep the state that they had before.
             return Optional.empty();
         }
     }
@@ -39,16 +39,16 @@
                 : Optional.empty();
     }
 
-    public static Optional<Long> whole(JsonNode node, String field) {
+    public static Optional<Long> integer(JsonNode node, String field) {
         JsonNode value = node.get(field);
         return value != null && value.isIntegralNumber() && value.canConvertToLong()
                 ? Optional.of(value.longValue())
                 : Optional.empty();
     }
 
-    public static double number(JsonNode node, String field, double absent) {
+    public static double number(JsonNode node, String field, double defaultValue) {
         JsonNode value = node.get(field);
-        return value != null && value.isNumber() ? value.doubleValue() : absent;
+        return value != null && value.isNumber() ? value.doubleValue() : defaultValue;
     }
 
     public static boolean flag(JsonNode node, String field) {
@@ -56,7 +56,7 @@
         return value != null && value.isBoolean() && value.booleanValue();
     }
 
-    /** The elements of a list; none when the field is no list. */
+    /** Returns the elements of an array; none if the field is not an array. */
     public static Stream<JsonNode> elements(JsonNode node, String field) {
         JsonNode value = node.get(field);
         return value != null && value.isArray()
--- a/link/src/main/java/org/tamaracktrack/link/codec/package-info.java
+++ b/link/src/main/java/org/tamaracktrack/link/codec/package-info.java
@@ -1,2 +1,2 @@
-/** The codecs: JSON, YAML and MessagePack by Jackson, set up once. */
+/** Encodes and decodes JSON, YAML and MessagePack with Jackson. */
 package org.tamaracktrack.link.codec;
--- a/link/src/main/java/org/tamaracktrack/link/hosts/HostListClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/hosts/HostListClient.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 import org.tamaracktrack.core.id.HostId;
 
-/** The platform's list of hosts. It lags, and may be wrong or unreachable. */
+/** A client of the platform's list of hosts. The list may be out of date, wrong or unavailable. */
 public interface HostListClient {
 
-    /** What the list says of a host. */
+    /** The state of a host according to the list. */
     enum HostState {
         LIVE,
         LEAVING
     }
 
     /**
-     * Reads the list.
+     * Reads the list. Blocks until the response arrives.
      *
-     * @return the hosts listed
+     * @return the state of each listed host
      * @throws org.tamaracktrack.core.error.TamaracktrackException with {@code
      *     HOST_LIST_UNAVAILABLE}
      */
--- a/link/src/main/java/org/tamaracktrack/link/hosts/HttpHostListClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/hosts/HttpHostListClient.java
@@ -9,12 +9,15 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.id.HostId;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.link.http.HttpAnswer;
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCallException;
 import org.tamaracktrack.link.http.HttpCaller;
+import org.tamaracktrack.link.http.HttpResponse;
 
-/** The platform's host list over HTTP, as {@code docs/PLATFORM.md} describes it. */
+/**
+ * A client of the platform's host list over HTTP, with the protocol described in {@code
+ * docs/PLATFORM.md}.
+ */
 public final class HttpHostListClient implements HostListClient {
     private static final long TIMEOUT_MILLIS = 2_000;
     private static final int OK = 200;
@@ -31,8 +34,8 @@
     /**
      * Returns a client.
      *
-     * @param http makes the calls
-     * @param address the host list service
+     * @param http makes the HTTP calls
+     * @param address the address of the host list service
      * @return the client
      */
     public static HttpHostListClient of(HttpCaller http, InetSocketAddress address) {
@@ -44,11 +47,11 @@
     @Override
     public Map<HostId, HostState> read() {
         try {
-            HttpAnswer answer = http.call(HttpCall.get(address, "/hosts", TIMEOUT_MILLIS));
-            if (answer.status() != OK) {
+            HttpResponse response = http.call(HttpCall.get(address, "/hosts", TIMEOUT_MILLIS));
+            if (response.status() != OK) {
                 throw unavailable(null);
             }
-            return Codecs.decode(Codecs.json(), answer.body(), Listing.class).states();
+            return Codecs.decode(Codecs.json(), response.body(), Listing.class).states();
         } catch (HttpCallException failure) {
             throw unavailable(failure);
         }
--- a/link/src/main/java/org/tamaracktrack/link/hosts/package-info.java
+++ b/link/src/main/java/org/tamaracktrack/link/hosts/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the platform's lagging list of hosts. */
+/** Contains the client of the platform's list of hosts, which may be out of date. */
 package org.tamaracktrack.link.hosts;
--- a/link/src/main/java/org/tamaracktrack/link/http/AnswerCollector.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/AnswerCollector.java
@@ -8,12 +8,12 @@
 final class AnswerCollector implements HttpListener {
     private static final int MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024;
 
-    private final CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+    private final CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
     private Map<String, String> headers = Map.of();
 
-    CompletableFuture<HttpAnswer> answer() {
+    CompletableFuture<HttpResponse> answer() {
         return answer;
     }
 
@@ -36,7 +36,7 @@
 
     @Override
     public void onEnd() {
-        answer.complete(new HttpAnswer(status, headers, body.toByteArray()));
+        answer.complete(new HttpResponse(status, headers, body.toByteArray()));
     }
 
     @Override
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpCaller.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpCaller.java
@@ -14,7 +14,7 @@
      * @return the answer, whatever its status
      * @throws HttpCallException when the call fails, with how far it got
      */
-    HttpAnswer call(HttpCall call);
+    HttpResponse call(HttpCall call);
 
     /**
      * Makes a call without waiting for the answer.
@@ -23,7 +23,7 @@
      * @return the whole answer, whatever its status; fails with an {@link HttpCallException}. It is
      *     completed on an input/output thread
      */
-    default CompletableFuture<HttpAnswer> send(HttpCall call) {
+    default CompletableFuture<HttpResponse> send(HttpCall call) {
         return send(call, () -> true);
     }
 
@@ -36,7 +36,7 @@
      *     {@link #stream(HttpCall, BooleanSupplier, HttpListener)}
      * @return the whole answer, whatever its status; fails with an {@link HttpCallException}
      */
-    default CompletableFuture<HttpAnswer> send(HttpCall call, BooleanSupplier maySend) {
+    default CompletableFuture<HttpResponse> send(HttpCall call, BooleanSupplier maySend) {
         AnswerCollector collector = new AnswerCollector();
         stream(call, maySend, collector);
         return collector.answer();
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpAnswer.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpResponse.java
@@ -10,10 +10,10 @@
  * @param headers the headers, names in lower case, the first value of each
  * @param body the body
  */
-public record HttpAnswer(int status, Map<String, String> headers, byte[] body) {
+public record HttpResponse(int status, Map<String, String> headers, byte[] body) {
 
     /** Checks the arguments. */
-    public HttpAnswer {
+    public HttpResponse {
         Objects.requireNonNull(body, "body is null");
         headers = Map.copyOf(headers);
     }
--- a/link/src/main/java/org/tamaracktrack/link/http/UndertowHttpCaller.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/UndertowHttpCaller.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public HttpAnswer call(HttpCall call) {
+    public HttpResponse call(HttpCall call) {
         try {
             return send(call).get();
         } catch (InterruptedException interrupted) {
--- a/link/src/main/java/org/tamaracktrack/link/log/HttpLogClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/log/HttpLogClient.java
@@ -14,13 +14,16 @@
 import org.tamaracktrack.core.log.LogRecord;
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.link.http.HttpAnswer;
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCallException;
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.HttpFailure;
+import org.tamaracktrack.link.http.HttpResponse;
 
-/** The platform's log over HTTP, as {@code docs/PLATFORM.md} describes it. */
+/**
+ * A client of the platform's log over HTTP, with the protocol described in {@code
+ * docs/PLATFORM.md}.
+ */
 public final class HttpLogClient implements LogClient {
     private static final Logger LOG = Logger.getLogger(HttpLogClient.class);
     private static final long TIMEOUT_MILLIS = 5_000;
@@ -39,8 +42,8 @@
     /**
      * Returns a client.
      *
-     * @param http makes the calls
-     * @param address the log service
+     * @param http makes the HTTP calls
+     * @param address the address of the log service
      * @return the client
      */
     public static HttpLogClient of(HttpCaller http, InetSocketAddress address) {
@@ -53,42 +56,47 @@
     public Appended append(LogStream stream, LogEntry entry) {
         byte[] body = Codecs.encode(Codecs.json(), entry);
         String path = "/streams/" + stream.path() + "/records";
-        HttpAnswer answer;
+        HttpResponse response;
         try {
-            answer = http.call(HttpCall.post(address, path, body, TIMEOUT_MILLIS));
+            response = http.call(HttpCall.post(address, path, body, TIMEOUT_MILLIS));
         } catch (HttpCallException failure) {
-            throw TamaracktrackException.of(appendCode(failure), "append failed", failure);
+            throw TamaracktrackException.of(
+                    appendErrorCode(failure), "could not append to the log", failure);
         }
-        if (answer.status() == OK) {
-            return decodeAppended(answer);
+        if (response.status() == OK) {
+            return decodeAppended(response);
         }
         throw TamaracktrackException.of(
-                appendCode(answer.status()), "the log answered " + answer.status());
+                appendErrorCode(response.status()),
+                "the log responded with status " + response.status());
     }
 
-    private static Appended decodeAppended(HttpAnswer answer) {
+    private static Appended decodeAppended(HttpResponse response) {
         try {
-            return Codecs.decode(Codecs.json(), answer.body(), Appended.class);
+            return Codecs.decode(Codecs.json(), response.body(), Appended.class);
         } catch (TamaracktrackException failure) {
             throw TamaracktrackException.of(
-                    ErrorCode.LOG_OUTCOME_UNKNOWN, "the log's answer is unreadable", failure);
+                    ErrorCode.LOG_OUTCOME_UNKNOWN,
+                    "the response of the log can't be decoded",
+                    failure);
         }
     }
 
-    // An answer may be lost after the write took effect. Taken as "not written", the writer would
-    // append again and act twice, so whatever may have reached the log counts as unknown.
-    private static ErrorCode appendCode(HttpCallException failure) {
+    // A response may be lost after the append took effect. A writer that took this for "not
+    // written" would append the entry again and its effect would be doubled, so the outcome of
+    // every append that may have reached the log counts as unknown.
+    private static ErrorCode appendErrorCode(HttpCallException failure) {
         return failure.failure() == HttpFailure.NOT_SENT
                 ? ErrorCode.LOG_UNAVAILABLE
                 : ErrorCode.LOG_OUTCOME_UNKNOWN;
     }
 
-    private static ErrorCode appendCode(int status) {
-        boolean certainlyNotWritten =
+    private static ErrorCode appendErrorCode(int status) {
+        boolean isCertainlyNotWritten =
                 status == TOO_MANY_REQUESTS
                         || status == SERVICE_UNAVAILABLE
                         || status >= 400 && status < 500;
-        return certainlyNotWritten ? ErrorCode.LOG_UNAVAILABLE : ErrorCode.LOG_OUTCOME_UNKNOWN;
+        return isCertainlyNotWritten ? ErrorCode.LOG_UNAVAILABLE : ErrorCode.LOG_OUTCOME_UNKNOWN;
     }
 
     @Override
@@ -96,25 +104,27 @@
         String path =
                 "/streams/%s/records?from=%d&maximum=%d&waitMillis=%d"
                         .formatted(stream.path(), from, maximum, waitMillis);
-        HttpAnswer answer;
+        HttpResponse response;
         try {
-            answer = http.call(HttpCall.get(address, path, waitMillis + TIMEOUT_MILLIS));
+            response = http.call(HttpCall.get(address, path, waitMillis + TIMEOUT_MILLIS));
         } catch (HttpCallException failure) {
-            throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "read failed", failure);
+            throw TamaracktrackException.of(
+                    ErrorCode.LOG_UNAVAILABLE, "could not read from the log", failure);
         }
-        if (answer.status() != OK) {
+        if (response.status() != OK) {
             throw TamaracktrackException.of(
-                    ErrorCode.LOG_UNAVAILABLE, "the log answered " + answer.status());
+                    ErrorCode.LOG_UNAVAILABLE,
+                    "the log responded with status " + response.status());
         }
-        return decodeBatch(answer);
+        return decodeBatch(response);
     }
 
-    private static Batch decodeBatch(HttpAnswer answer) {
+    private static Batch decodeBatch(HttpResponse response) {
         try {
-            return batch(Codecs.decode(Codecs.json(), answer.body(), ReadAnswer.class));
+            return batch(Codecs.decode(Codecs.json(), response.body(), ReadAnswer.class));
         } catch (TamaracktrackException failure) {
             throw TamaracktrackException.of(
-                    ErrorCode.LOG_UNAVAILABLE, "the log's answer is unreadable", failure);
+                    ErrorCode.LOG_UNAVAILABLE, "the response of the log can't be decoded", failure);
         }
     }
 
@@ -130,8 +140,8 @@
         return new Batch(answer.firstOffset(), answer.nextOffset(), records, undecodable);
     }
 
-    // A record of a newer release, or a damaged one, must not stop a reader for good; it is passed
-    // over by number, so that the reader knows of the hole.
+    // A record written by a newer release, or a damaged one, must not block a reader permanently.
+    // It is skipped and its offset reported, so that the reader knows which record is missing.
     private static Optional<LogRecord> decode(RawRecord raw) {
         try {
             byte[] body = raw.body().getBytes(StandardCharsets.UTF_8);
--- a/link/src/main/java/org/tamaracktrack/link/log/package-info.java
+++ b/link/src/main/java/org/tamaracktrack/link/log/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the platform's append-only log. */
+/** Contains the client of the platform's append-only log. */
 package org.tamaracktrack.link.log;
--- a/link/src/main/java/org/tamaracktrack/link/topic/KeyedRecord.java
+++ b/link/src/main/java/org/tamaracktrack/link/topic/KeyedRecord.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * A record of a topic that keeps the newest record of each key.
+ * A record of a compacted topic, which keeps the newest record of each key.
  *
  * @param key the key
- * @param value the value; empty when the key was removed
- * @param offset where the record stands
+ * @param value the value; empty if the record removes the key
+ * @param offset the offset of the record in its partition
  */
 public record KeyedRecord(String key, Optional<byte[]> value, long offset) {
 
--- a/link/src/main/java/org/tamaracktrack/link/topic/RecordBatch.java
+++ b/link/src/main/java/org/tamaracktrack/link/topic/RecordBatch.java
@@ -5,9 +5,9 @@
 /**
  * Records read from a partition.
  *
- * @param from the offset of the first
- * @param records their bytes in order
- * @param end where the partition ended
+ * @param from the offset of the first record
+ * @param records the bytes of each record in the order of their offsets
+ * @param end the end offset of the partition at the time of the read
  */
 public record RecordBatch(long from, List<byte[]> records, long end) {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns where to read on.
+     * Returns the offset at which the next read starts.
      *
      * @return the offset after the last record
      */
-    public long next() {
+    public long nextOffset() {
         return from + records.size();
     }
 }
--- a/link/src/main/java/org/tamaracktrack/link/topic/StoreEra.java
+++ b/link/src/main/java/org/tamaracktrack/link/topic/StoreEra.java
@@ -5,9 +5,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * The newest era of the store that this process has heard of. A store that comes back from a copy
- * has lost what was written since the copy was made, gives offsets out a second time, and begins
- * another era. Safe for use by several threads.
+ * Tracks the newest era of the store that this process has observed. A store that is restored from
+ * a backup has lost the records written since the backup, assigns their offsets again, and begins a
+ * new era. Safe for use by several threads.
  */
 public final class StoreEra {
     private static final Logger LOG = Logger.getLogger("tamaracktrack.store");
@@ -20,71 +20,72 @@
     private StoreEra() {}
 
     /**
-     * Returns an era that is not known yet.
+     * Returns an instance that has observed no era yet.
      *
-     * @return the era
+     * @return the instance
      */
     public static StoreEra unknown() {
         return new StoreEra();
     }
 
     /**
-     * Names who hears that the store came back from a copy: everything read of it may be void.
+     * Adds a listener that is called when the store has been restored from a backup, so that
+     * everything read from it before may be invalid.
      *
-     * @param listener hears of it, on any thread
+     * @param listener called on the thread that observed the new era
      */
-    public void onRestored(Runnable listener) {
+    public void addRestoreListener(Runnable listener) {
         listeners.add(listener);
     }
 
     /**
-     * Somebody named an era.
+     * Records an era that a message or a response of the store stated.
      *
-     * @param era its number
-     * @return false when a newer one is known, so that what came with it is void
+     * @param era the number of the era
+     * @return false if a newer era is known, so that the message or response is invalid
      */
-    public boolean note(long era) {
+    public boolean observe(long era) {
         synchronized (this) {
             if (era <= newest) {
                 return era == newest;
             }
-            boolean first = newest == UNKNOWN;
-            long before = newest;
+            boolean firstObserved = newest == UNKNOWN;
+            long previous = newest;
             newest = era;
-            if (first) {
+            if (firstObserved) {
                 return true;
             }
             restores++;
-            LOG.warn("event=store-restored era=" + era + " was=" + before);
+            LOG.warn("event=store-restored era=" + era + " was=" + previous);
         }
         listeners.forEach(Runnable::run);
         return true;
     }
 
     /**
-     * Returns the newest era.
+     * Returns the newest era observed.
      *
-     * @return its number; 0 while none is known
+     * @return the number of restores of the era; 0 if none has been observed or it is 0
      */
     public synchronized long newest() {
         return Math.max(0, newest);
     }
 
     /**
-     * Returns whether an answer belongs to the era in which its call was sent.
+     * Returns whether the store answered in the same era in which the call was sent.
      *
-     * @param sent the era known then
-     * @param answered the era that the answer names
-     * @return true also when no era was known then
+     * @param eraWhenSent the newest era known when the call was sent; 0 for none
+     * @param eraOfAnswer the era stated in the answer
+     * @return true if the eras are equal or none was known when the call was sent
      */
-    public static boolean same(long sent, long answered) {
-        return sent == 0 || sent == answered;
+    public static boolean isSame(long eraWhenSent, long eraOfAnswer) {
+        return eraWhenSent == 0 || eraWhenSent == eraOfAnswer;
     }
 
     /**
-     * Returns how often the store came back from a copy while this process ran.
+     * Returns how often the store has been restored from a backup since this process started.
      *
-     * @return the number
+     * @return the number of restores
      */
     public synchronized int restores() {
         return restores;
--- a/link/src/main/java/org/tamaracktrack/link/topic/TopicClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/topic/TopicClient.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Calls to topics, each sent once. Futures are completed on an input/output thread and never fail:
- * every failure is a {@link TopicAnswer}.
+ * A client of the store's topics. Calls are not retried. Futures are completed on an input/output
+ * thread and never exceptionally: every failure is a {@link TopicAnswer}.
  */
 public interface TopicClient {
 
     /**
-     * Returns the era of the store. A call that is answered in another era than the one it was sent
-     * in is {@link TopicAnswer.Unknown}.
+     * Returns the tracker of the store's era. The outcome of a call that is answered in another era
+     * than the one in which it was sent is {@link TopicAnswer.Unknown}.
      *
      * @return the era
      */
@@ -23,46 +23,47 @@
      * Reads the newest record of each key.
      *
      * @param part the partition
-     * @param afterKey the last key of the page before; empty for the first page
-     * @return a page
+     * @param afterKey the last key of the previous page; empty for the first page
+     * @return one page of records
      */
     CompletableFuture<TopicAnswer<NewestPage>> newest(TopicPart part, String afterKey);
 
     /**
-     * Reads records.
+     * Reads records from an offset on.
      *
      * @param part the partition
-     * @param from the first offset wanted
-     * @param waitMillis how long to wait when there is none yet
-     * @return the records, none when the wait is over
+     * @param from the first offset to read
+     * @param waitMillis how long to wait if there is no record yet, in milliseconds
+     * @return the records; none if the wait ended without one
      */
     CompletableFuture<TopicAnswer<RecordBatch>> read(TopicPart part, long from, long waitMillis);
 
     /**
-     * Decodes a record of a topic that keeps the newest record of each key.
+     * Decodes a record of a compacted topic, which keeps the newest record of each key.
      *
-     * @param bytes the record
-     * @param offset where it stands
-     * @return the record; empty when it can't be decoded
+     * @param bytes the encoded record
+     * @param offset the offset of the record
+     * @return the record; empty if it can't be decoded
      */
     Optional<KeyedRecord> keyed(byte[] bytes, long offset);
 
     /**
-     * Encodes a record of a topic that keeps the newest record of each key.
+     * Encodes a record of a compacted topic, which keeps the newest record of each key.
      *
-     * @param key the key, 255 bytes at most
-     * @param value the value; empty to drop the key
+     * @param key the key, at most 255 bytes
+     * @param value the value; empty to remove the key
      * @return the record
      */
     byte[] keyed(String key, Optional<byte[]> value);
 
     /**
-     * Appends records, all or nothing.
+     * Appends records atomically.
      *
      * @param part the partition
-     * @param records their bytes
-     * @param expectedEnd append only if the partition ends here; empty for no condition
-     * @return the offset of the first
+     * @param records the encoded records
+     * @param expectedEnd the end offset at which the partition must be for the append to take
+     *     effect; empty for no condition
+     * @return the offset of the first record
      */
     CompletableFuture<TopicAnswer<Long>> append(
             TopicPart part, List<byte[]> records, OptionalLong expectedEnd);
--- a/link/src/test/java/org/tamaracktrack/link/http/UndertowHttpCallerTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/http/UndertowHttpCallerTest.java
@@ -66,7 +66,7 @@
         byte[] body = new byte[LARGE];
         body[LARGE - 1] = 7;
 
-        HttpAnswer answer = caller.call(HttpCall.post(address(), "/echo", body, TIMEOUT_MILLIS));
+        HttpResponse answer = caller.call(HttpCall.post(address(), "/echo", body, TIMEOUT_MILLIS));
 
         assertThat(answer.status()).isEqualTo(201);
         assertThat(answer.headers().get("etag")).isEqualTo("x");
@@ -78,7 +78,7 @@
         for (int number = 0; number < 200; number++) {
             byte[] body = ("call " + number).getBytes(StandardCharsets.UTF_8);
 
-            HttpAnswer answer = caller.call(HttpCall.post(address(), "/", body, TIMEOUT_MILLIS));
+            HttpResponse answer = caller.call(HttpCall.post(address(), "/", body, TIMEOUT_MILLIS));
 
             assertThat(answer.body()).isEqualTo(body);
         }
--- a/link/src/test/java/org/tamaracktrack/link/log/HttpLogClientTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/log/HttpLogClientTest.java
@@ -19,16 +19,16 @@
 import org.tamaracktrack.core.id.IncarnationId;
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogStream;
-import org.tamaracktrack.link.http.HttpAnswer;
 import org.tamaracktrack.link.http.HttpCall;
 import org.tamaracktrack.link.http.HttpCallException;
 import org.tamaracktrack.link.http.HttpCaller;
 import org.tamaracktrack.link.http.HttpFailure;
 import org.tamaracktrack.link.http.HttpListener;
+import org.tamaracktrack.link.http.HttpResponse;
 import org.tamaracktrack.link.http.HttpStream;
 
 class HttpLogClientTest {
-    private static final LogEntry ENTRY =
+    private static final LogEntry LEASE_RELEASED =
             new LogEntry.LeaseReleased("planner", IncarnationId.of("entry-1"));
 
     private final ScriptedCaller caller = new ScriptedCaller();
@@ -36,15 +36,16 @@
             HttpLogClient.of(caller, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
 
     @Test
-    void shouldGiveTheOffsetWhenTheLogTookTheRecord() {
-        caller.answers(200, "{\"offset\":7,\"appendedAtMillis\":9}");
+    void shouldReturnTheOffsetWhenTheLogAcceptsTheRecord() {
+        caller.addResponse(200, "{\"offset\":7,\"appendedAtMillis\":9}");
 
-        assertThat(log.append(LogStream.PLAN, ENTRY)).isEqualTo(new LogClient.Appended(7, 9));
+        assertThat(log.append(LogStream.PLAN, LEASE_RELEASED))
+                .isEqualTo(new LogClient.Appended(7, 9));
     }
 
     @Test
-    void shouldPassOverByNumberWhenARecordIsNotUnderstood() {
-        caller.answers(
+    void shouldReturnTheOffsetOfARecordThatCannotBeDecoded() {
+        caller.addResponse(
                 200,
                 "{\"firstOffset\":3,\"nextOffset\":5,\"records\":["
                         + "{\"offset\":3,\"appendedAtMillis\":1,\"body\":\"{}\"},"
@@ -55,7 +56,7 @@
         LogClient.Batch batch = log.read(LogStream.PLAN, 0, 10, 0);
 
         assertThat(batch.undecodable()).containsExactly(3L);
-        assertThat(batch.records().get(0).entry()).isEqualTo(ENTRY);
+        assertThat(batch.records().get(0).entry()).isEqualTo(LEASE_RELEASED);
         assertThat(batch.firstOffset()).isEqualTo(3);
     }
 
@@ -63,10 +64,10 @@
     class Failures {
 
         @Test
-        void shouldSayNotWrittenWhenTheLogRefuses() {
-            caller.answers(503, "");
-            caller.answers(429, "");
-            caller.fails(HttpFailure.NOT_SENT);
+        void shouldReportNotWrittenWhenTheLogRefusesTheAppend() {
+            caller.addResponse(503, "");
+            caller.addResponse(429, "");
+            caller.addFailure(HttpFailure.NOT_SENT);
 
             assertThat(appendFailure()).isEqualTo(ErrorCode.LOG_UNAVAILABLE);
             assertThat(appendFailure()).isEqualTo(ErrorCode.LOG_UNAVAILABLE);
@@ -74,14 +75,14 @@
         }
 
         @Test
-        void shouldSayUnknownWhenTheAnswerIsLost() {
-            // The record is written and the answer is lost on the way. A writer that took this for
-            // a refusal would write again and act twice.
-            caller.fails(HttpFailure.NO_ANSWER);
-            caller.fails(HttpFailure.TIMED_OUT);
-            caller.fails(HttpFailure.ANSWER_CUT);
-            caller.answers(500, "");
-            caller.answers(200, "garbage");
+        void shouldReportAnUnknownOutcomeWhenTheResponseIsLost() {
+            // The record is written but the response is lost. A writer that took this for a refusal
+            // would append the record a second time.
+            caller.addFailure(HttpFailure.NO_ANSWER);
+            caller.addFailure(HttpFailure.TIMED_OUT);
+            caller.addFailure(HttpFailure.ANSWER_CUT);
+            caller.addResponse(500, "");
+            caller.addResponse(200, "garbage");
 
             for (int tries = 0; tries < 5; tries++) {
                 assertThat(appendFailure()).isEqualTo(ErrorCode.LOG_OUTCOME_UNKNOWN);
@@ -90,29 +91,32 @@
 
         private ErrorCode appendFailure() {
             return assertThrows(
-                            TamaracktrackException.class, () -> log.append(LogStream.PLAN, ENTRY))
+                            TamaracktrackException.class,
+                            () -> log.append(LogStream.PLAN, LEASE_RELEASED))
                     .code();
         }
     }
 
     private static final class ScriptedCaller implements HttpCaller {
-        private final Deque<Supplier<HttpAnswer>> script = new ArrayDeque<>();
+        private final Deque<Supplier<HttpResponse>> scriptedResults = new ArrayDeque<>();
 
-        void answers(int status, String body) {
-            script.add(
-                    () -> new HttpAnswer(status, Map.of(), body.getBytes(StandardCharsets.UTF_8)));
+        void addResponse(int status, String body) {
+            scriptedResults.add(
+                    () ->
+                            new HttpResponse(
+                                    status, Map.of(), body.getBytes(StandardCharsets.UTF_8)));
         }
 
-        void fails(HttpFailure failure) {
-            script.add(
+        void addFailure(HttpFailure failure) {
+            scriptedResults.add(
                     () -> {
                         throw HttpCallException.of(failure, "scripted");
                     });
         }
 
         @Override
-        public HttpAnswer call(HttpCall call) {
-            return script.remove().get();
+        public HttpResponse call(HttpCall call) {
+            return scriptedResults.remove().get();
         }
 
         @Override
--- a/link/src/test/java/org/tamaracktrack/link/topic/StoreEraTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/topic/StoreEraTest.java
@@ -8,37 +8,37 @@
 
 class StoreEraTest {
     private final StoreEra era = StoreEra.unknown();
-    private final AtomicInteger heard = new AtomicInteger();
+    private final AtomicInteger restoreNotifications = new AtomicInteger();
 
     @BeforeEach
-    void listen() {
-        era.onRestored(heard::incrementAndGet);
+    void addListener() {
+        era.addRestoreListener(restoreNotifications::incrementAndGet);
     }
 
     @Test
-    void shouldTakeTheFirstEraForNoRestore() {
-        assertThat(era.note(4)).isTrue();
+    void shouldNotReportARestoreWhenTheFirstEraIsObserved() {
+        assertThat(era.observe(4)).isTrue();
 
         assertThat(era.newest()).isEqualTo(4);
-        assertThat(heard.get()).isEqualTo(0);
+        assertThat(restoreNotifications.get()).isEqualTo(0);
     }
 
     @Test
-    void shouldTellOnceWhenTheEraRises() {
-        era.note(4);
-        era.note(5);
-        era.note(5);
+    void shouldNotifyListenersOnceWhenTheEraIncreases() {
+        era.observe(4);
+        era.observe(5);
+        era.observe(5);
 
-        assertThat(heard.get()).isEqualTo(1);
+        assertThat(restoreNotifications.get()).isEqualTo(1);
         assertThat(era.restores()).isEqualTo(1);
     }
 
-    // Guards against an answer that was on its way while the store came back.
+    // Guards against accepting an answer that was still in transit when the store was restored.
     @Test
-    void shouldRefuseAnOlderEra() {
-        era.note(5);
+    void shouldRejectAnOlderEra() {
+        era.observe(5);
 
-        assertThat(era.note(4)).isFalse();
+        assertThat(era.observe(4)).isFalse();
         assertThat(era.newest()).isEqualTo(5);
     }
 }
