--- a/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/relay/RecordRelay.java
@@ -53,8 +53,8 @@
      * A record is some hundred bytes, and a daemon that takes nothing for a while is better served
      * by the store.
      */
-    private static final XnioFrameTransport.Format FORMAT =
-            new XnioFrameTransport.Format(
+    private static final XnioFrameTransport.ConnectionOptions FORMAT =
+            new XnioFrameTransport.ConnectionOptions(
                     new RecordsCodec(), 4 * 1024, RelayLimits.CONNECTION_BYTES);
 
     /** How often a daemon tells the holder what its clock shows, in milliseconds. */
--- a/link/src/main/java/org/tamaracktrack/link/frame/Connection.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/Connection.java
@@ -6,19 +6,19 @@
 public interface Connection {
 
     /**
-     * Queues a message. Messages arrive in the order in which they were queued, or not at all once
-     * the connection is closed.
+     * Queues a message. Messages are delivered in the order in which they were queued; those still
+     * queued when the connection closes are lost.
      *
      * @param message the message
-     * @return false when the connection is closed or its send queue is over its bound, in which
-     *     case the message will not be sent
+     * @return false if the message was not queued, because the connection is closed or its send
+     *     queue is full
      */
     boolean send(Message message);
 
     /**
-     * Returns what was queued and has not left this process.
+     * Returns the size of the messages that are queued and not yet written to the socket.
      *
-     * @return its size in bytes
+     * @return the size in bytes
      */
     long queuedBytes();
 
@@ -33,9 +33,9 @@
     boolean isOpen();
 
     /**
-     * Returns the other end's address, for logs.
+     * Returns the address of the peer, for log lines.
      *
-     * @return IP number and port
+     * @return the IP address and port
      */
     String remote();
 }
--- a/link/src/main/java/org/tamaracktrack/link/frame/ConnectionHandler.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/ConnectionHandler.java
@@ -4,20 +4,20 @@
 import org.tamaracktrack.core.message.Message;
 
 /**
- * What a daemon does with a connection. Called by the connection's input/output thread, one call at
- * a time for a connection, so it must not block.
+ * Handles the events of a connection. Methods are called on the connection's input/output thread,
+ * one call at a time per connection, and must not block.
  */
 public interface ConnectionHandler {
 
     /**
-     * The other end has proved the shared secret.
+     * Handles an open connection: the peer has been authenticated.
      *
      * @param connection the connection
      */
     void onOpen(Connection connection);
 
     /**
-     * A message arrived.
+     * Handles a message that arrived.
      *
      * @param connection the connection
      * @param message the message
@@ -25,16 +25,16 @@
     void onMessage(Connection connection, Message message);
 
     /**
-     * The connection closed; called exactly once after {@code onOpen}.
+     * Handles the close of the connection. Called exactly once after {@code onOpen}.
      *
      * @param connection the connection
      */
     void onClosed(Connection connection);
 
     /**
-     * The connection could not be opened: nothing was sent on it.
+     * Handles a connection that could not be opened. No message was sent on it.
      *
-     * @param failure why: {@code TARGET_UNREACHABLE} or {@code PEER_REFUSED}
+     * @param failure the failure, with the code {@code TARGET_UNREACHABLE} or {@code PEER_REFUSED}
      */
     void onConnectFailed(TamaracktrackException failure);
 }
--- a/link/src/main/java/org/tamaracktrack/link/frame/FrameConnection.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/FrameConnection.java
@@ -15,15 +15,18 @@
 import org.xnio.StreamConnection;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
-/** One connection: the handshake, then messages. Reads and writes on its input/output thread. */
+/**
+ * One connection, which performs the handshake and then carries messages. Reads and writes on its
+ * input/output thread.
+ */
 final class FrameConnection implements Connection {
     static final int MAXIMUM_FRAME_BYTES = 16 * 1024 * 1024;
     private static final Logger LOG = Logger.getLogger(FrameConnection.class);
-    private static final long HANDSHAKE_MILLIS = 3_000;
-    private static final int FRAMES_AT_ONCE = 64;
+    private static final long HANDSHAKE_TIMEOUT_MILLIS = 3_000;
+    private static final int MAXIMUM_FRAMES_PER_WRITE = 64;
 
     private enum State {
-        PROVING,
+        HANDSHAKE,
         OPEN,
         CLOSED
     }
@@ -34,8 +37,8 @@
     private final boolean initiator;
     private final MessageCodec codec;
     private final FrameDecoder decoder = FrameDecoder.of(Handshake.MAXIMUM_FRAME_BYTES);
-    private final AtomicReference<State> state = new AtomicReference<>(State.PROVING);
-    private final Deque<ByteBuffer> queue = new ArrayDeque<>();
+    private final AtomicReference<State> state = new AtomicReference<>(State.HANDSHAKE);
+    private final Deque<ByteBuffer> sendQueue = new ArrayDeque<>();
     private final ByteBuffer input;
     private final long maximumQueuedBytes;
     private final String remote;
@@ -46,11 +49,11 @@
             ConnectionHandler handler,
             Handshake handshake,
             boolean initiator,
-            XnioFrameTransport.Format format) {
+            XnioFrameTransport.ConnectionOptions options) {
         this.stream = stream;
-        this.codec = format.codec();
-        this.input = ByteBuffer.allocate(format.readBytes());
-        this.maximumQueuedBytes = format.queuedBytes();
+        this.codec = options.codec();
+        this.input = ByteBuffer.allocate(options.readBufferBytes());
+        this.maximumQueuedBytes = options.maximumQueuedBytes();
         this.handler = handler;
         this.handshake = handshake;
         this.initiator = initiator;
@@ -62,30 +65,34 @@
             ConnectionHandler handler,
             Handshake handshake,
             boolean initiator,
-            XnioFrameTransport.Format format) {
+            XnioFrameTransport.ConnectionOptions options) {
         FrameConnection connection =
-                new FrameConnection(stream, handler, handshake, initiator, format);
-        connection.begin();
+                new FrameConnection(stream, handler, handshake, initiator, options);
+        connection.startHandshake();
         return connection;
     }
 
-    private void begin() {
+    private void startHandshake() {
         stream.getSourceChannel().getReadSetter().set(channel -> read());
         stream.getSinkChannel().getWriteSetter().set(channel -> write());
         stream.setCloseListener(channel -> finish(State.CLOSED, Optional.empty()));
         if (initiator) {
-            enqueue(handshake.opening());
+            enqueue(handshake.initialFrame());
         }
-        // A frozen peer's kernel still accepts connections, and a stranger may open one and say
-        // nothing; either would hold this connection, and whoever waits for it, for good.
+        // The kernel of a frozen peer still accepts connections, and an unauthenticated client may
+        // connect without sending anything. Without a time limit, either would keep this connection
+        // open, and whoever waits for it blocked, indefinitely.
         stream.getIoThread()
-                .executeAfter(this::endHandshake, HANDSHAKE_MILLIS, TimeUnit.MILLISECONDS);
+                .executeAfter(
+                        this::failIfHandshakePending,
+                        HANDSHAKE_TIMEOUT_MILLIS,
+                        TimeUnit.MILLISECONDS);
         stream.getSourceChannel().resumeReads();
     }
 
-    private void endHandshake() {
-        if (state.get() == State.PROVING) {
-            fail(ErrorCode.TARGET_UNREACHABLE, "no proof of the shared secret in time");
+    private void failIfHandshakePending() {
+        if (state.get() == State.HANDSHAKE) {
+            fail(ErrorCode.TARGET_UNREACHABLE, "the handshake did not complete in time");
         }
     }
 
@@ -99,19 +106,20 @@
 
     @Override
     public long queuedBytes() {
-        synchronized (queue) {
+        synchronized (sendQueue) {
             return queuedBytes;
         }
     }
 
     private boolean enqueue(byte[] body) {
-        synchronized (queue) {
-            // A peer that stops reading would let this queue grow until the heap is full and every
-            // other connection suffers; past the bound the sender is told that nothing was queued.
+        synchronized (sendQueue) {
+            // If a peer stops reading, an unbounded queue would grow until the heap is full and all
+            // connections are affected. Beyond the bound the message is rejected and the sender is
+            // notified.
             if (queuedBytes + body.length > maximumQueuedBytes || state.get() == State.CLOSED) {
                 return false;
             }
-            queue.add(FrameDecoder.encode(body));
+            sendQueue.add(FrameDecoder.encode(body));
             queuedBytes += body.length + FrameDecoder.HEADER_BYTES;
         }
         stream.getSinkChannel().wakeupWrites();
@@ -121,36 +129,36 @@
     private void write() {
         try {
             ConduitStreamSinkChannel sink = stream.getSinkChannel();
-            ByteBuffer[] batch = head();
+            ByteBuffer[] batch = nextFrames();
             while (batch.length > 0 && sink.write(batch, 0, batch.length) > 0) {
-                dropWritten();
-                batch = head();
+                removeWrittenFrames();
+                batch = nextFrames();
             }
             if (batch.length == 0 && sink.flush()) {
-                suspendWhenEmpty(sink);
+                suspendWritesIfQueueEmpty(sink);
             }
         } catch (IOException failure) {
-            fail(ErrorCode.CONNECTION_CLOSED, "the connection broke");
+            fail(ErrorCode.CONNECTION_CLOSED, "input/output error on the connection");
         }
     }
 
-    private ByteBuffer[] head() {
-        synchronized (queue) {
-            return queue.stream().limit(FRAMES_AT_ONCE).toArray(ByteBuffer[]::new);
+    private ByteBuffer[] nextFrames() {
+        synchronized (sendQueue) {
+            return sendQueue.stream().limit(MAXIMUM_FRAMES_PER_WRITE).toArray(ByteBuffer[]::new);
         }
     }
 
-    private void dropWritten() {
-        synchronized (queue) {
-            while (!queue.isEmpty() && !queue.peek().hasRemaining()) {
-                queuedBytes -= queue.poll().capacity();
+    private void removeWrittenFrames() {
+        synchronized (sendQueue) {
+            while (!sendQueue.isEmpty() && !sendQueue.peek().hasRemaining()) {
+                queuedBytes -= sendQueue.poll().capacity();
             }
         }
     }
 
-    private void suspendWhenEmpty(ConduitStreamSinkChannel sink) {
-        synchronized (queue) {
-            if (queue.isEmpty()) {
+    private void suspendWritesIfQueueEmpty(ConduitStreamSinkChannel sink) {
+        synchronized (sendQueue) {
+            if (sendQueue.isEmpty()) {
                 sink.suspendWrites();
             }
         }
@@ -167,10 +175,10 @@
                 count = stream.getSourceChannel().read(input);
             }
             if (count < 0) {
-                fail(ErrorCode.CONNECTION_CLOSED, "the other end closed the connection");
+                fail(ErrorCode.CONNECTION_CLOSED, "the peer closed the connection");
             }
         } catch (IOException failure) {
-            fail(ErrorCode.CONNECTION_CLOSED, "the connection broke");
+            fail(ErrorCode.CONNECTION_CLOSED, "input/output error on the connection");
         } catch (TamaracktrackException failure) {
             LOG.warnf("event=frame-refused remote=%s code=%s", remote, failure.code());
             fail(failure.code(), failure.getMessage());
@@ -178,18 +186,18 @@
     }
 
     private void receive(byte[] frame) {
-        if (state.get() == State.PROVING) {
-            prove(frame);
+        if (state.get() == State.HANDSHAKE) {
+            continueHandshake(frame);
         } else if (state.get() == State.OPEN) {
             handler.onMessage(this, codec.decode(frame));
         }
     }
 
-    private void prove(byte[] frame) {
+    private void continueHandshake(byte[] frame) {
         Handshake.Step step = handshake.receive(frame);
         step.reply().ifPresent(this::enqueue);
-        if (step.proved() && state.compareAndSet(State.PROVING, State.OPEN)) {
-            decoder.allow(MAXIMUM_FRAME_BYTES);
+        if (step.authenticated() && state.compareAndSet(State.HANDSHAKE, State.OPEN)) {
+            decoder.setMaximumBytes(MAXIMUM_FRAME_BYTES);
             handler.onOpen(this);
         }
     }
@@ -205,21 +213,21 @@
     }
 
     private void finish(State next, Optional<TamaracktrackException> failure) {
-        State before = state.getAndSet(next);
+        State previous = state.getAndSet(next);
         IoUtils.safeClose(stream);
-        synchronized (queue) {
-            queue.clear();
+        synchronized (sendQueue) {
+            sendQueue.clear();
         }
-        if (before == State.OPEN) {
+        if (previous == State.OPEN) {
             handler.onClosed(this);
-        } else if (before == State.PROVING && initiator) {
+        } else if (previous == State.HANDSHAKE && initiator) {
             handler.onConnectFailed(
                     TamaracktrackException.of(
-                            connectCode(failure), "can't open a connection to " + remote));
+                            connectErrorCode(failure), "can't open a connection to " + remote));
         }
     }
 
-    private static ErrorCode connectCode(Optional<TamaracktrackException> failure) {
+    private static ErrorCode connectErrorCode(Optional<TamaracktrackException> failure) {
         return failure.map(TamaracktrackException::code)
                 .filter(code -> code == ErrorCode.PEER_REFUSED)
                 .orElse(ErrorCode.TARGET_UNREACHABLE);
--- a/link/src/main/java/org/tamaracktrack/link/frame/FrameDecoder.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/FrameDecoder.java
@@ -7,7 +7,9 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Cuts a stream of bytes into frames: four bytes of length, then the body. */
+/**
+ * Splits a stream of bytes into frames. A frame consists of a length of four bytes and the body.
+ */
 final class FrameDecoder {
     static final int HEADER_BYTES = 4;
     private static final int INITIAL_BYTES = 4096;
@@ -23,23 +25,24 @@
         return new FrameDecoder(maximumBytes);
     }
 
-    void allow(int bytes) {
+    void setMaximumBytes(int bytes) {
         maximumBytes = bytes;
     }
 
-    /** Takes bytes in; the frames that are now whole come out in order. */
+    /** Consumes bytes and returns the frames that they complete, in order. */
     List<byte[]> decode(ByteBuffer input) {
         List<byte[]> frames = new ArrayList<>();
         decode(input, frames::add);
         return frames;
     }
 
-    // Each frame is handed over before the next is looked at: the first message often arrives in
-    // one piece with the proof before it, and is over the limit that holds until that proof.
+    // Each frame is passed on before the length of the next is checked. The first message often
+    // arrives in the same read as the proof before it and exceeds the limit that applies until the
+    // proof has been verified.
     void decode(ByteBuffer input, Consumer<byte[]> receiver) {
         append(input);
         pending.flip();
-        while (hasWholeFrame()) {
+        while (hasCompleteFrame()) {
             byte[] frame = new byte[pending.getInt()];
             pending.get(frame);
             receiver.accept(frame);
@@ -48,16 +51,16 @@
         shrinkWhenEmpty();
     }
 
-    private boolean hasWholeFrame() {
+    private boolean hasCompleteFrame() {
         if (pending.remaining() < HEADER_BYTES) {
             return false;
         }
         int length = pending.getInt(pending.position());
-        // The length comes from the network; taken on trust, one bad frame would make this process
-        // allocate all its memory. Refused before anything is allocated for it.
+        // The length comes from the network. Without this check, a single invalid frame could make
+        // this process allocate all its memory.
         if (length < 0 || length > maximumBytes) {
             throw TamaracktrackException.of(
-                    ErrorCode.FRAME_TOO_LARGE, "a frame of " + length + " bytes");
+                    ErrorCode.FRAME_TOO_LARGE, "frame too large: " + length + " bytes");
         }
         return pending.remaining() >= HEADER_BYTES + length;
     }
--- a/link/src/main/java/org/tamaracktrack/link/frame/FrameTransport.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/FrameTransport.java
@@ -6,19 +6,19 @@
 public interface FrameTransport extends AutoCloseable {
 
     /**
-     * Accepts connections.
+     * Starts to accept connections.
      *
-     * @param address where to listen; port 0 for any free one
-     * @param handler what to do with each connection
-     * @return the address in use
+     * @param address the address to listen on; port 0 selects any free port
+     * @param handler handles the events of each connection
+     * @return the address on which the transport listens
      */
     InetSocketAddress listen(InetSocketAddress address, ConnectionHandler handler);
 
     /**
-     * Opens a connection; the handler hears of the outcome.
+     * Opens a connection without blocking. The handler is notified of the outcome.
      *
-     * @param address where to
-     * @param handler what to do with the connection
+     * @param address the address of the peer
+     * @param handler handles the events of the connection
      */
     void connect(InetSocketAddress address, ConnectionHandler handler);
 
--- a/link/src/main/java/org/tamaracktrack/link/frame/Handshake.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/Handshake.java
@@ -11,8 +11,9 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 
 /**
- * Proves the shared secret both ways without sending it. The initiator sends a nonce; the responder
- * answers with its nonce and a proof over both; the initiator sends its own proof.
+ * Authenticates both sides of a connection by a shared secret that is never sent. The initiator
+ * sends a nonce. The responder replies with its own nonce and a proof, which is an HMAC over both
+ * nonces. The initiator then sends its own proof.
  */
 final class Handshake {
     static final int NONCE_BYTES = 32;
@@ -39,18 +40,24 @@
         return new Handshake(false, secret, nonce);
     }
 
-    /** What a received frame leads to: a frame to send, and whether the peer is now proved. */
-    record Step(Optional<byte[]> reply, boolean proved) {}
+    /**
+     * The result of a received frame: the frame to send in reply, if any, and whether the peer is
+     * authenticated.
+     */
+    record Step(Optional<byte[]> reply, boolean authenticated) {}
 
-    /** The frame that the initiator sends first. */
-    byte[] opening() {
+    /** Returns the first frame of the initiator. */
+    byte[] initialFrame() {
         return ownNonce.clone();
     }
 
-    /** Takes a frame from the other side; throws {@code PEER_REFUSED} when it proves nothing. */
+    /**
+     * Processes a frame of the peer. Throws {@code PEER_REFUSED} if the frame is not valid at this
+     * step.
+     */
     Step receive(byte[] frame) {
         if (initiator) {
-            return receiveAnswer(frame);
+            return receiveResponderFrame(frame);
         }
         return peerNonce == null ? receiveNonce(frame) : receiveProof(frame);
     }
@@ -64,7 +71,7 @@
         return new Step(Optional.of(reply), false);
     }
 
-    private Step receiveAnswer(byte[] frame) {
+    private Step receiveResponderFrame(byte[] frame) {
         require(frame.length == NONCE_BYTES + PROOF_BYTES);
         peerNonce = Arrays.copyOf(frame, NONCE_BYTES);
         byte[] proof = Arrays.copyOfRange(frame, NONCE_BYTES, frame.length);
@@ -77,8 +84,8 @@
         return new Step(Optional.empty(), true);
     }
 
-    // The side's name is part of the proof: without it a stranger could send our own proof back to
-    // us over a second connection and pass as a peer.
+    // The name of the side is part of the proof. Otherwise an attacker could reflect our own proof
+    // over a second connection and be accepted as a peer.
     private byte[] proof(String side, byte[] initiatorNonce, byte[] responderNonce) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
@@ -91,10 +98,11 @@
         }
     }
 
-    private static void require(boolean proved) {
-        if (!proved) {
+    private static void require(boolean valid) {
+        if (!valid) {
             throw TamaracktrackException.of(
-                    ErrorCode.PEER_REFUSED, "the other end did not prove the shared secret");
+                    ErrorCode.PEER_REFUSED,
+                    "the peer did not prove knowledge of the shared secret");
         }
     }
 }
--- a/link/src/main/java/org/tamaracktrack/link/frame/EveryMessageCodec.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/JacksonMessageCodec.java
@@ -5,8 +5,8 @@
 import org.tamaracktrack.core.message.Message;
 import org.tamaracktrack.link.codec.Codecs;
 
-/** MessagePack by the fields of each kind of message. */
-final class EveryMessageCodec implements MessageCodec {
+/** Encodes all types of messages as MessagePack maps of their fields, with Jackson. */
+final class JacksonMessageCodec implements MessageCodec {
 
     @Override
     public byte[] encode(Message message) {
@@ -18,7 +18,8 @@
         try {
             return Codecs.decode(Codecs.messagePack(), frame, Message.class);
         } catch (TamaracktrackException failure) {
-            throw TamaracktrackException.of(ErrorCode.BAD_FRAME, "not a message", failure);
+            throw TamaracktrackException.of(
+                    ErrorCode.BAD_FRAME, "frame is not a valid message", failure);
         }
     }
 }
--- a/link/src/main/java/org/tamaracktrack/link/frame/MessageCodec.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/MessageCodec.java
@@ -3,23 +3,23 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.core.message.Message;
 
-/** How messages are written into frames. */
+/** Encodes messages as frame bodies and decodes them. */
 public interface MessageCodec {
 
     /**
-     * Writes a message.
+     * Encodes a message.
      *
      * @param message the message
-     * @return the frame's body
+     * @return the body of the frame
      */
     byte[] encode(Message message);
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @param frame the frame's body
+     * @param frame the body of the frame
      * @return the message
-     * @throws TamaracktrackException with {@code BAD_FRAME} when it is none
+     * @throws TamaracktrackException with {@code BAD_FRAME} if the body is not a valid message
      */
     Message decode(byte[] frame);
 }
--- a/link/src/main/java/org/tamaracktrack/link/frame/RecordsCodec.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/RecordsCodec.java
@@ -13,17 +13,21 @@
 import org.tamaracktrack.core.message.Message;
 
 /**
- * MessagePack for connections that carry nothing but records (topic, partition, first offset, end,
- * the records, the time up to which they are whole, and their era, in this order) and readings of
- * clocks (a number alone).
+ * A MessagePack codec for connections that carry only records and clock readings. Records are
+ * encoded as topic, partition, first offset, end offset, the records, the time up to which they are
+ * complete, and the era, in this order. A clock reading is a single number.
  *
- * <p>Written by hand, since a codec by fields takes 130 ms of processor time to look at all kinds
- * of messages before the first, on the thread of the traffic and at the moment at which a daemon
- * takes the lease; this one takes 1 ms, and each message 0.01 ms instead of 0.1 ms.
+ * <p>The fields are encoded by hand because Jackson needs 130 ms of processor time to inspect all
+ * message types before the first message. That time would be spent on the traffic thread at the
+ * moment at which a daemon takes the lease. This codec needs 1 ms, and 0.01 ms instead of 0.1 ms
+ * per message.
  */
 public final class RecordsCodec implements MessageCodec {
-    /** A record of the store is 256 KiB at most; more in one frame is an error of the sender. */
-    private static final int MOST_RECORDS = 100_000;
+    /**
+     * The maximum number of records in one frame; a larger number is an error of the sender. A
+     * record of the store has at most 256 KiB.
+     */
+    private static final int MAXIMUM_RECORDS = 100_000;
 
     @Override
     public byte[] encode(Message message) {
@@ -33,7 +37,8 @@
             } else if (message instanceof Message.ClockReading reading) {
                 packer.packLong(reading.millis());
             } else {
-                throw new IllegalArgumentException("only records and clocks are carried here");
+                throw new IllegalArgumentException(
+                        "this codec only encodes records and clock readings");
             }
             return packer.toByteArray();
         } catch (IOException failure) {
@@ -75,16 +80,19 @@
                     end,
                     unpacker.unpackLong(),
                     unpacker.unpackLong());
-        } catch (IOException | MessagePackException unreadable) {
-            throw TamaracktrackException.of(ErrorCode.BAD_FRAME, "not records", unreadable);
+        } catch (IOException | MessagePackException failure) {
+            throw TamaracktrackException.of(
+                    ErrorCode.BAD_FRAME,
+                    "frame contains neither records nor a clock reading",
+                    failure);
         }
     }
 
-    // Lengths come from the network: they are compared with what the frame has before anything is
-    // allocated for them.
+    // Lengths come from the network, so they are checked against the remaining bytes of the frame
+    // before memory is allocated for them.
     private static List<byte[]> records(MessageUnpacker unpacker, byte[] frame) throws IOException {
         int count = unpacker.unpackArrayHeader();
-        require(count <= MOST_RECORDS);
+        require(count <= MAXIMUM_RECORDS);
         List<byte[]> records = new ArrayList<>();
         for (int index = 0; index < count; index++) {
             int length = unpacker.unpackBinaryHeader();
@@ -94,9 +102,10 @@
         return records;
     }
 
-    private static void require(boolean holds) {
-        if (!holds) {
-            throw TamaracktrackException.of(ErrorCode.BAD_FRAME, "longer than its frame");
+    private static void require(boolean valid) {
+        if (!valid) {
+            throw TamaracktrackException.of(
+                    ErrorCode.BAD_FRAME, "record count or length exceeds the frame");
         }
     }
 }
--- a/link/src/main/java/org/tamaracktrack/link/frame/XnioFrameTransport.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/XnioFrameTransport.java
@@ -20,74 +20,80 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** The transport over XNIO, the input/output library that Undertow brings. */
+/** A transport over XNIO, the input/output library on which Undertow is built. */
 public final class XnioFrameTransport implements FrameTransport {
     private static final Logger LOG = Logger.getLogger(XnioFrameTransport.class);
     private static final int IO_THREADS = 2;
     private static final int BACKLOG = 1024;
-    private static final long CONNECT_MILLIS = 3_000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 3_000;
 
     private final String sharedSecret;
-    private final XnioWorker worker;
-    private final boolean ownWorker;
-    private final Format format;
+    private final XnioWorker startWorker;
+    private final boolean ownsWorker;
+    private final ConnectionOptions connectionOptions;
     private final SecureRandom random = new SecureRandom();
     private final Set<AcceptingChannel<StreamConnection>> servers = ConcurrentHashMap.newKeySet();
 
     private XnioFrameTransport(
-            String sharedSecret, XnioWorker worker, boolean ownWorker, Format format) {
+            String sharedSecret,
+            XnioWorker worker,
+            boolean ownsWorker,
+            ConnectionOptions connectionOptions) {
         this.sharedSecret = sharedSecret;
-        this.worker = worker;
-        this.ownWorker = ownWorker;
-        this.format = format;
+        this.startWorker = worker;
+        this.ownsWorker = ownsWorker;
+        this.connectionOptions = connectionOptions;
     }
 
     /**
-     * How messages are written, and what a connection may take of memory.
+     * The codec and the memory limits of connections.
      *
-     * @param codec writes and reads messages
-     * @param readBytes read at once
-     * @param queuedBytes waiting to be sent, beyond which messages are not taken
+     * @param codec encodes and decodes messages
+     * @param readBufferBytes the size of the read buffer of a connection, in bytes
+     * @param maximumQueuedBytes the maximum size of the send queue of a connection, in bytes;
+     *     messages beyond it are rejected
      */
-    public record Format(MessageCodec codec, int readBytes, long queuedBytes) {
-        /** For connections that carry requests and answers. */
-        static final Format REQUESTS =
-                new Format(new EveryMessageCodec(), 64 * 1024, 32L * 1024 * 1024);
+    public record ConnectionOptions(
+            MessageCodec codec, int readBufferBytes, long maximumQueuedBytes) {
+        /** The options for connections that carry requests and responses. */
+        static final ConnectionOptions FOR_REQUESTS =
+                new ConnectionOptions(new JacksonMessageCodec(), 64 * 1024, 32L * 1024 * 1024);
     }
 
     /**
-     * Starts a transport.
+     * Starts a transport with threads of its own.
      *
-     * @param sharedSecret what both ends prove to know
+     * @param sharedSecret the secret with which both sides authenticate each other
      * @return the transport
-     * @throws TamaracktrackException with {@code INTERNAL} when its threads can't be started
+     * @throws TamaracktrackException with {@code INTERNAL} if the threads can't be started
      */
     public static XnioFrameTransport of(String sharedSecret) {
         Objects.requireNonNull(sharedSecret, "sharedSecret is null");
         try {
-            return new XnioFrameTransport(sharedSecret, worker(), true, Format.REQUESTS);
+            return new XnioFrameTransport(
+                    sharedSecret, startWorker(), true, ConnectionOptions.FOR_REQUESTS);
         } catch (IOException failure) {
             throw TamaracktrackException.of(ErrorCode.INTERNAL, "can't start XNIO", failure);
         }
     }
 
     /**
-     * Returns a transport on the threads of another part of the program.
+     * Returns a transport on the threads of an existing worker.
      *
-     * @param sharedSecret what both ends prove to know
-     * @param worker the threads; not stopped when the transport is closed
-     * @param format how messages are written, and what a connection may take of memory
+     * @param sharedSecret the secret with which both sides authenticate each other
+     * @param worker the worker; not stopped when the transport is closed
+     * @param connectionOptions the codec and the memory limits of connections
      * @return the transport
      */
     public static XnioFrameTransport sharing(
-            String sharedSecret, XnioWorker worker, Format format) {
+            String sharedSecret, XnioWorker worker, ConnectionOptions connectionOptions) {
         Objects.requireNonNull(sharedSecret, "sharedSecret is null");
         Objects.requireNonNull(worker, "worker is null");
-        Objects.requireNonNull(format, "format is null");
-        return new XnioFrameTransport(sharedSecret, worker, false, format);
+        Objects.requireNonNull(connectionOptions, "format is null");
+        return new XnioFrameTransport(sharedSecret, worker, false, connectionOptions);
     }
 
-    private static XnioWorker worker() throws IOException {
+    private static XnioWorker startWorker() throws IOException {
         return Xnio.getInstance()
                 .createWorker(
                         OptionMap.builder()
@@ -113,7 +119,7 @@
         Objects.requireNonNull(handler, "handler is null");
         try {
             AcceptingChannel<StreamConnection> server =
-                    worker.createStreamConnectionServer(
+                    startWorker.createStreamConnectionServer(
                             address, accepting -> accept(accepting, handler), socketOptions());
             servers.add(server);
             server.resumeAccepts();
@@ -125,13 +131,17 @@
     }
 
     private void accept(
-            AcceptingChannel<? extends StreamConnection> accepting, ConnectionHandler handler) {
+            AcceptingChannel<? extends StreamConnection> server, ConnectionHandler handler) {
         try {
-            StreamConnection stream = accepting.accept();
+            StreamConnection stream = server.accept();
             while (stream != null) {
                 FrameConnection.start(
-                        stream, handler, Handshake.responder(sharedSecret, nonce()), false, format);
-                stream = accepting.accept();
+                        stream,
+                        handler,
+                        Handshake.responder(sharedSecret, nonce()),
+                        false,
+                        connectionOptions);
+                stream = server.accept();
             }
         } catch (IOException failure) {
             LOG.warnf("event=accept-failed cause=%s", failure.getMessage());
@@ -142,8 +152,8 @@
     public void connect(InetSocketAddress address, ConnectionHandler handler) {
         Objects.requireNonNull(address, "address is null");
         Objects.requireNonNull(handler, "handler is null");
-        IoFuture<StreamConnection> opening =
-                worker.openStreamConnection(
+        IoFuture<StreamConnection> connecting =
+                startWorker.openStreamConnection(
                         address,
                         stream ->
                                 FrameConnection.start(
@@ -151,13 +161,16 @@
                                         handler,
                                         Handshake.initiator(sharedSecret, nonce()),
                                         true,
-                                        format),
+                                        connectionOptions),
                         socketOptions());
-        opening.addNotifier((future, attachment) -> report(future, address, handler), null);
-        worker.getIoThread().executeAfter(opening::cancel, CONNECT_MILLIS, TimeUnit.MILLISECONDS);
+        connecting.addNotifier(
+                (future, attachment) -> reportConnectFailure(future, address, handler), null);
+        startWorker
+                .getIoThread()
+                .executeAfter(connecting::cancel, CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static void report(
+    private static void reportConnectFailure(
             IoFuture<? extends StreamConnection> future,
             InetSocketAddress address,
             ConnectionHandler handler) {
@@ -184,8 +197,8 @@
     @Override
     public void close() {
         servers.forEach(IoUtils::safeClose);
-        if (ownWorker) {
-            worker.shutdownNow();
+        if (ownsWorker) {
+            startWorker.shutdownNow();
         }
     }
 }
--- a/link/src/main/java/org/tamaracktrack/link/frame/package-info.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Connections between daemons: TCP by XNIO, frames of a four-byte length and a MessagePack body.
- * Each side proves the shared secret before the first message.
+ * Carries messages between daemons over TCP with XNIO. A frame consists of a four-byte length and a
+ * MessagePack body. Both sides authenticate each other by the shared secret before the first
+ * message.
  */
 package org.tamaracktrack.link.frame;
--- a/link/src/main/java/org/tamaracktrack/link/log/HttpLogClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/log/HttpLogClient.java
@@ -92,11 +92,11 @@
     }
 
     private static ErrorCode appendErrorCode(int status) {
-        boolean isCertainlyNotWritten =
+        boolean certainlyNotWritten =
                 status == TOO_MANY_REQUESTS
                         || status == SERVICE_UNAVAILABLE
                         || status >= 400 && status < 500;
-        return isCertainlyNotWritten ? ErrorCode.LOG_UNAVAILABLE : ErrorCode.LOG_OUTCOME_UNKNOWN;
+        return certainlyNotWritten ? ErrorCode.LOG_UNAVAILABLE : ErrorCode.LOG_OUTCOME_UNKNOWN;
     }
 
     @Override
--- a/link/src/test/java/org/tamaracktrack/link/frame/FrameDecoderTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/frame/FrameDecoderTest.java
@@ -18,9 +18,9 @@
     private static final int LIMIT = 1 << 20;
 
     @Property(seed = "71")
-    void shouldGiveTheSameFramesWhenTheBytesArriveInAnyPieces(
+    void shouldDecodeTheSameFramesWhenTheBytesArriveInPiecesOfAnySize(
             @ForAll @Size(max = 8) List<@Size(max = 300) byte[]> frames,
-            @ForAll @IntRange(min = 1, max = 97) int piece) {
+            @ForAll @IntRange(min = 1, max = 97) int pieceBytes) {
         FrameDecoder decoder = FrameDecoder.of(LIMIT);
         ByteBuffer wire = ByteBuffer.allocate(8 * 310);
         frames.forEach(frame -> wire.put(FrameDecoder.encode(frame)));
@@ -28,7 +28,7 @@
 
         List<byte[]> decoded = new ArrayList<>();
         while (wire.hasRemaining()) {
-            int length = Math.min(piece, wire.remaining());
+            int length = Math.min(pieceBytes, wire.remaining());
             decoded.addAll(decoder.decode(wire.slice(wire.position(), length)));
             wire.position(wire.position() + length);
         }
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void shouldRefuseBeforeAllocatingWhenTheLengthIsOverTheLimit() {
+    void shouldRejectAFrameBeforeAllocatingWhenItsLengthExceedsTheLimit() {
         FrameDecoder decoder = FrameDecoder.of(64);
         ByteBuffer header = ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).flip();
 
@@ -50,11 +50,11 @@
         assertThat(failure.code()).isEqualTo(ErrorCode.FRAME_TOO_LARGE);
     }
 
-    // What the caller sees: no connection opens. The proof (at most 64 bytes) and the first message
-    // (larger) arrive in one read; the limit is raised only when the proof has been taken, so the
-    // message must not be looked at before that.
+    // Guards against connections that fail to open. The proof (at most 64 bytes) and the first
+    // message (larger) may arrive in one read. The limit is raised only once the proof has been
+    // processed, so the length of the message must not be checked before that.
     @Test
-    void shouldTakeALargerFrameWhenTheFrameBeforeItRaisesTheLimit() {
+    void shouldDecodeALargerFrameWhenThePreviousFrameRaisedTheLimit() {
         FrameDecoder decoder = FrameDecoder.of(64);
         ByteBuffer wire = ByteBuffer.allocate(400);
         wire.put(FrameDecoder.encode(new byte[32])).put(FrameDecoder.encode(new byte[300])).flip();
@@ -63,7 +63,7 @@
         decoder.decode(
                 wire,
                 frame -> {
-                    decoder.allow(LIMIT);
+                    decoder.setMaximumBytes(LIMIT);
                     lengths.add(frame.length);
                 });
 
--- a/link/src/test/java/org/tamaracktrack/link/frame/HandshakeTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/frame/HandshakeTest.java
@@ -9,53 +9,54 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 
 class HandshakeTest {
-    private static final byte[] FIRST = nonce((byte) 1);
-    private static final byte[] SECOND = nonce((byte) 2);
+    private static final byte[] FIRST_NONCE = nonce((byte) 1);
+    private static final byte[] SECOND_NONCE = nonce((byte) 2);
 
     @Test
-    void shouldProveBothSidesWhenTheyShareTheSecret() {
-        Handshake initiator = Handshake.initiator("secret", FIRST);
-        Handshake responder = Handshake.responder("secret", SECOND);
+    void shouldAuthenticateBothSidesWhenTheyShareTheSecret() {
+        Handshake initiator = Handshake.initiator("secret", FIRST_NONCE);
+        Handshake responder = Handshake.responder("secret", SECOND_NONCE);
 
-        Handshake.Step answer = responder.receive(initiator.opening());
+        Handshake.Step answer = responder.receive(initiator.initialFrame());
         Handshake.Step proof = initiator.receive(answer.reply().orElseThrow());
         Handshake.Step end = responder.receive(proof.reply().orElseThrow());
 
-        assertThat(answer.proved()).isFalse();
-        assertThat(proof.proved()).isTrue();
-        assertThat(end.proved()).isTrue();
+        assertThat(answer.authenticated()).isFalse();
+        assertThat(proof.authenticated()).isTrue();
+        assertThat(end.authenticated()).isTrue();
     }
 
     @Nested
-    class Strangers {
+    class UnauthenticatedPeers {
 
         @Test
-        void shouldRefuseWhenTheResponderHasAnotherSecret() {
-            Handshake initiator = Handshake.initiator("secret", FIRST);
-            Handshake responder = Handshake.responder("other", SECOND);
-            byte[] answer = responder.receive(initiator.opening()).reply().orElseThrow();
+        void shouldRefuseAResponderThatHasAnotherSecret() {
+            Handshake initiator = Handshake.initiator("secret", FIRST_NONCE);
+            Handshake responder = Handshake.responder("other", SECOND_NONCE);
+            byte[] answer = responder.receive(initiator.initialFrame()).reply().orElseThrow();
 
             assertRefused(() -> initiator.receive(answer));
         }
 
         @Test
-        void shouldRefuseWhenOurOwnProofIsSentBackToUs() {
-            // A stranger opens two connections to us and plays what we say on one into the other.
-            // The first answers our nonce with our proof as responder; the stranger returns it as
-            // its own. The side's name in the proof makes it worthless there.
-            Handshake victim = Handshake.responder("secret", FIRST);
-            Handshake mirror = Handshake.responder("secret", SECOND);
-            byte[] fromVictim = victim.receive(SECOND).reply().orElseThrow();
-            byte[] fromMirror = mirror.receive(FIRST).reply().orElseThrow();
-
-            assertThat(fromVictim).isNotEqualTo(fromMirror);
-            assertRefused(() -> victim.receive(proofOf(fromMirror)));
-            assertRefused(() -> mirror.receive(proofOf(fromVictim)));
+        void shouldRefuseOurOwnProofWhenItIsReflected() {
+            // An attacker opens two connections to this process and forwards the frames of one to
+            // the other. Each connection replies with a proof in the role of the responder, which
+            // the attacker returns on the other as its own. The name of the side in the proof makes
+            // it invalid there.
+            Handshake firstConnection = Handshake.responder("secret", FIRST_NONCE);
+            Handshake secondConnection = Handshake.responder("secret", SECOND_NONCE);
+            byte[] firstReply = firstConnection.receive(SECOND_NONCE).reply().orElseThrow();
+            byte[] secondReply = secondConnection.receive(FIRST_NONCE).reply().orElseThrow();
+
+            assertThat(firstReply).isNotEqualTo(secondReply);
+            assertRefused(() -> firstConnection.receive(proofOf(secondReply)));
+            assertRefused(() -> secondConnection.receive(proofOf(firstReply)));
         }
 
         @Test
-        void shouldRefuseWhenTheFrameHasAnotherLength() {
-            Handshake responder = Handshake.responder("secret", SECOND);
+        void shouldRefuseAFrameOfUnexpectedLength() {
+            Handshake responder = Handshake.responder("secret", SECOND_NONCE);
 
             assertRefused(() -> responder.receive(new byte[5]));
         }
--- a/link/src/test/java/org/tamaracktrack/link/frame/RecordsCodecTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/frame/RecordsCodecTest.java
@@ -19,7 +19,7 @@
     private final RecordsCodec codec = new RecordsCodec();
 
     @Property(tries = 200)
-    void shouldReadWhatItWrote(
+    void shouldDecodeTheRecordsThatWereEncoded(
             @ForAll String topic,
             @ForAll int partition,
             @ForAll long from,
@@ -27,7 +27,7 @@
             @ForAll long end,
             @ForAll long wholeAtMillis,
             @ForAll long era) {
-        Message.Records read =
+        Message.Records decoded =
                 (Message.Records)
                         codec.decode(
                                 codec.encode(
@@ -40,49 +40,51 @@
                                                 wholeAtMillis,
                                                 era)));
 
-        assertThat(read.topic()).isEqualTo(topic);
-        assertThat(read.partition()).isEqualTo(partition);
-        assertThat(read.from()).isEqualTo(from);
-        assertThat(read.end()).isEqualTo(end);
-        assertThat(read.wholeAtMillis()).isEqualTo(wholeAtMillis);
-        assertThat(read.era()).isEqualTo(era);
-        assertThat(read.records()).hasSize(records.size());
+        assertThat(decoded.topic()).isEqualTo(topic);
+        assertThat(decoded.partition()).isEqualTo(partition);
+        assertThat(decoded.from()).isEqualTo(from);
+        assertThat(decoded.end()).isEqualTo(end);
+        assertThat(decoded.wholeAtMillis()).isEqualTo(wholeAtMillis);
+        assertThat(decoded.era()).isEqualTo(era);
+        assertThat(decoded.records()).hasSize(records.size());
         for (int index = 0; index < records.size(); index++) {
-            assertThat(read.records().get(index)).isEqualTo(records.get(index));
+            assertThat(decoded.records().get(index)).isEqualTo(records.get(index));
         }
     }
 
     @Property(tries = 200)
-    void shouldReadTheClockThatItWrote(@ForAll long millis) {
+    void shouldDecodeTheClockReadingThatWasEncoded(@ForAll long millis) {
         assertThat(codec.decode(codec.encode(new Message.ClockReading(millis))))
                 .isEqualTo(new Message.ClockReading(millis));
     }
 
     @Property(tries = 500)
-    void shouldRefuseBytesThatAreNoRecords(@ForAll @Size(max = 40) byte[] bytes) {
+    void shouldFailOnlyWithBadFrameWhenArbitraryBytesAreDecoded(
+            @ForAll @Size(max = 40) byte[] bytes) {
         try {
             codec.decode(bytes);
-        } catch (TamaracktrackException refused) {
-            assertThat(refused.code()).isEqualTo(ErrorCode.BAD_FRAME);
+        } catch (TamaracktrackException failure) {
+            assertThat(failure.code()).isEqualTo(ErrorCode.BAD_FRAME);
         }
     }
 
     @Test
-    void shouldRefuseAMessageThatIsCutOff() {
-        byte[] whole = codec.encode(new Message.Records("t", 0, 1, List.of(new byte[9]), 2, 3, 4));
+    void shouldRejectATruncatedMessage() {
+        byte[] complete =
+                codec.encode(new Message.Records("t", 0, 1, List.of(new byte[9]), 2, 3, 4));
 
-        for (int length = 0; length < whole.length; length++) {
-            byte[] part = Arrays.copyOf(whole, length);
-            TamaracktrackException refused =
-                    assertThrows(TamaracktrackException.class, () -> codec.decode(part));
-            assertThat(refused.code()).isEqualTo(ErrorCode.BAD_FRAME);
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            TamaracktrackException failure =
+                    assertThrows(TamaracktrackException.class, () -> codec.decode(truncated));
+            assertThat(failure.code()).isEqualTo(ErrorCode.BAD_FRAME);
         }
     }
 
-    // A frame of some bytes says that a record of two gigabytes follows. Believed, it would take
-    // all memory.
+    // A frame of a few bytes states that a record of two gigabytes follows. Allocating that length
+    // unchecked would exhaust the memory.
     @Test
-    void shouldRefuseALengthThatTheFrameDoesNotHave() throws Exception {
+    void shouldRejectALengthThatExceedsTheFrame() throws Exception {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packString("t").packInt(0).packLong(1).packLong(2).packArrayHeader(1);
             packer.packBinaryHeader(Integer.MAX_VALUE);
--- a/link/src/test/java/org/tamaracktrack/link/frame/XnioFrameTransportTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/frame/XnioFrameTransportTest.java
@@ -34,8 +34,8 @@
 
     private final XnioFrameTransport server = XnioFrameTransport.of("secret");
     private final XnioFrameTransport client = XnioFrameTransport.of("secret");
-    private final Recorder serverSide = new Recorder();
-    private final Recorder clientSide = new Recorder();
+    private final RecordingHandler serverHandler = new RecordingHandler();
+    private final RecordingHandler clientHandler = new RecordingHandler();
 
     @AfterEach
     void closeTransports() {
@@ -44,8 +44,8 @@
     }
 
     @Test
-    void shouldCarryEveryFieldWhenAMessageIsSent() {
-        client.connect(server.listen(ANY_PORT, serverSide), clientSide);
+    void shouldDeliverTheFieldsOfAMessageUnchanged() {
+        client.connect(server.listen(ANY_PORT, serverHandler), clientHandler);
         Message.Submit sent =
                 new Message.Submit(
                         ATTEMPT,
@@ -65,9 +65,9 @@
                         true,
                         65_536);
 
-        assertThat(clientSide.connection().send(sent)).isTrue();
+        assertThat(clientHandler.connection().send(sent)).isTrue();
 
-        Message.Submit received = (Message.Submit) serverSide.message();
+        Message.Submit received = (Message.Submit) serverHandler.message();
         assertThat(received.body()).isEqualTo(sent.body());
         assertThat(received.model()).isEqualTo(sent.model());
         assertThat(received.adapter()).isEmpty();
@@ -76,10 +76,10 @@
     }
 
     @Test
-    void shouldKeepTheOrderWhenManyMessagesAreSentBothWays() {
-        client.connect(server.listen(ANY_PORT, serverSide), clientSide);
-        Connection fromClient = clientSide.connection();
-        Connection fromServer = serverSide.connection();
+    void shouldKeepTheOrderWhenManyMessagesAreSentInBothDirections() {
+        client.connect(server.listen(ANY_PORT, serverHandler), clientHandler);
+        Connection fromClient = clientHandler.connection();
+        Connection fromServer = serverHandler.connection();
 
         IntStream.range(0, 2_000)
                 .forEach(
@@ -92,40 +92,40 @@
         IntStream.range(0, 2_000)
                 .forEach(
                         number -> {
-                            assertThat(((Message.Credit) serverSide.message()).bytes())
+                            assertThat(((Message.Credit) serverHandler.message()).bytes())
                                     .isEqualTo(number);
-                            assertThat(((Message.Chunk) clientSide.message()).sequence())
+                            assertThat(((Message.Chunk) clientHandler.message()).sequence())
                                     .isEqualTo(number);
                         });
     }
 
     @Test
-    void shouldTellBothSidesOnceWhenOneSideCloses() {
-        client.connect(server.listen(ANY_PORT, serverSide), clientSide);
-        Connection fromClient = clientSide.connection();
-        serverSide.connection();
+    void shouldNotifyBothHandlersWhenOneSideCloses() {
+        client.connect(server.listen(ANY_PORT, serverHandler), clientHandler);
+        Connection fromClient = clientHandler.connection();
+        serverHandler.connection();
 
         fromClient.close();
 
-        assertThat(serverSide.closed()).isNotNull();
-        assertThat(clientSide.closed()).isNotNull();
+        assertThat(serverHandler.closed()).isNotNull();
+        assertThat(clientHandler.closed()).isNotNull();
         assertThat(fromClient.send(new Message.LoadQuery())).isFalse();
     }
 
-    // Guards against a daemon that is frozen and counts as one that has taken everything.
+    // Guards against treating a frozen daemon as one that has received all messages.
     @Test
-    void shouldTellHowMuchWaitsWhileThePeerTakesNothing() {
-        CompletableFuture<Void> go = new CompletableFuture<>();
-        client.connect(server.listen(ANY_PORT, new Stopped(go)), clientSide);
-        Connection fromClient = clientSide.connection();
-        byte[] part = new byte[1024 * 1024];
+    void shouldReportTheQueuedBytesWhileThePeerDoesNotRead() {
+        CompletableFuture<Void> readingAllowed = new CompletableFuture<>();
+        client.connect(server.listen(ANY_PORT, new BlockedHandler(readingAllowed)), clientHandler);
+        Connection fromClient = clientHandler.connection();
+        byte[] payload = new byte[1024 * 1024];
 
         IntStream.range(0, 24)
-                .forEach(number -> fromClient.send(new Message.Chunk(ATTEMPT, number, part)));
+                .forEach(number -> fromClient.send(new Message.Chunk(ATTEMPT, number, payload)));
         assertThat(fromClient.queuedBytes())
-                .isIn(Range.closed(part.length + 0L, 25L * part.length));
+                .isIn(Range.closed(payload.length + 0L, 25L * payload.length));
 
-        go.complete(null);
+        readingAllowed.complete(null);
         long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (fromClient.queuedBytes() > 0 && System.nanoTime() < untilNanos) {
             Thread.onSpinWait();
@@ -133,21 +133,25 @@
         assertThat(fromClient.queuedBytes()).isEqualTo(0);
     }
 
-    /** Takes nothing until it may. */
-    private record Stopped(CompletableFuture<Void> go) implements ConnectionHandler {
+    /**
+     * A handler that blocks its connection's thread, so that nothing is read, until the future is
+     * completed.
+     */
+    private record BlockedHandler(CompletableFuture<Void> readingAllowed)
+            implements ConnectionHandler {
         @Override
         public void onOpen(Connection connection) {
-            go.join();
+            readingAllowed.join();
         }
 
         @Override
         public void onMessage(Connection connection, Message message) {
-            // Only how much waits matters.
+            // The test only checks the size of the send queue.
         }
 
         @Override
         public void onClosed(Connection connection) {
-            // The transport is closed after the test.
+            // Expected when the transport is closed after the test.
         }
 
         @Override
@@ -160,56 +164,61 @@
     class Failures {
 
         @Test
-        void shouldReportThatNothingWasSentWhenNobodyListens() throws IOException {
+        void shouldReportUnreachableWhenNoServerListens() throws IOException {
             InetSocketAddress free;
             try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 free = (InetSocketAddress) socket.getLocalSocketAddress();
             }
 
-            client.connect(free, clientSide);
+            client.connect(free, clientHandler);
 
-            assertThat(clientSide.connectFailure().code()).isEqualTo(ErrorCode.TARGET_UNREACHABLE);
+            assertThat(clientHandler.connectFailure().code())
+                    .isEqualTo(ErrorCode.TARGET_UNREACHABLE);
         }
 
         @Test
-        void shouldRefuseWhenTheOtherEndHasAnotherSecret() {
-            // A stranger connects with a secret of its own. Our daemon answers the nonce, the proof
-            // that comes back is wrong, and the connection closes before any message is read.
-            XnioFrameTransport stranger = XnioFrameTransport.of("guess");
+        void shouldRefuseAPeerThatHasAnotherSecret() {
+            // A peer connects with another secret. The handshake fails on both sides, and the
+            // connection is closed before any message is read.
+            XnioFrameTransport untrustedPeer = XnioFrameTransport.of("guess");
             try {
-                stranger.connect(server.listen(ANY_PORT, serverSide), clientSide);
+                untrustedPeer.connect(server.listen(ANY_PORT, serverHandler), clientHandler);
 
-                assertThat(clientSide.connectFailure().code()).isEqualTo(ErrorCode.PEER_REFUSED);
-                assertThat(serverSide.opened.peek()).isNull();
+                assertThat(clientHandler.connectFailure().code()).isEqualTo(ErrorCode.PEER_REFUSED);
+                assertThat(serverHandler.opened.peek()).isNull();
             } finally {
-                stranger.close();
+                untrustedPeer.close();
             }
         }
 
         @Test
-        void shouldGiveUpWhenThePeerAcceptsAndSaysNothing() throws IOException {
-            // A frozen process: its kernel accepts the connection, and no proof ever comes. The
-            // dialling side must hear of it, or it would wait with its requests for good.
-            try (ServerSocket frozen = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                client.connect((InetSocketAddress) frozen.getLocalSocketAddress(), clientSide);
-
-                assertThat(clientSide.connectFailure().code())
+        void shouldReportUnreachableWhenThePeerAcceptsButDoesNotCompleteTheHandshake()
+                throws IOException {
+            // The kernel of a frozen process accepts the connection, but the handshake never
+            // completes. The initiator must be notified, or its requests would wait indefinitely.
+            try (ServerSocket frozenPeer =
+                    new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                client.connect(
+                        (InetSocketAddress) frozenPeer.getLocalSocketAddress(), clientHandler);
+
+                assertThat(clientHandler.connectFailure().code())
                         .isEqualTo(ErrorCode.TARGET_UNREACHABLE);
             }
         }
 
         @Test
-        void shouldCloseWhenAStrangerSendsALongFrame() throws IOException {
-            InetSocketAddress address = server.listen(ANY_PORT, serverSide);
-            try (Socket stranger = new Socket(address.getAddress(), address.getPort())) {
-                stranger.getOutputStream().write(new byte[] {0x7f, 0, 0, 0, 1});
+        void shouldCloseTheConnectionWhenAnUnauthenticatedPeerSendsAnOversizedFrame()
+                throws IOException {
+            InetSocketAddress address = server.listen(ANY_PORT, serverHandler);
+            try (Socket untrustedPeer = new Socket(address.getAddress(), address.getPort())) {
+                untrustedPeer.getOutputStream().write(new byte[] {0x7f, 0, 0, 0, 1});
 
-                assertThat(stranger.getInputStream().read()).isEqualTo(-1);
+                assertThat(untrustedPeer.getInputStream().read()).isEqualTo(-1);
             }
         }
     }
 
-    private static final class Recorder implements ConnectionHandler {
+    private static final class RecordingHandler implements ConnectionHandler {
         private static final long LIMIT_SECONDS = 20;
 
         private final BlockingQueue<Connection> opened = new LinkedBlockingQueue<>();
