--- a/link/src/main/java/org/tamaracktrack/link/http/CallLimits.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/CallLimits.java
@@ -1,25 +1,26 @@
 package org.tamaracktrack.link.http;
 
 /**
- * How long the parts of a call may take.
+ * The time limits of an HTTP call.
  *
- * @param totalMillis all of it
- * @param connectMillis opening a connection
- * @param idleMillis how long a kept connection may have been idle to be used for it. A server may
- *     be closing a connection just as a call is sent on it; the call then fails with its outcome
- *     unknown though it never ran, so a call that must not be repeated takes young ones only
+ * @param totalMillis the time limit of the whole call, in milliseconds
+ * @param connectMillis the time limit for opening a connection, in milliseconds
+ * @param idleMillis the maximum time in milliseconds for which a pooled connection may have been
+ *     idle to be reused for the call. A server may close a connection just as a call is sent on it;
+ *     the call then fails with an unknown outcome although the server never executed it. A call
+ *     that must not be repeated therefore uses only connections that were idle for a short time
  */
 public record CallLimits(long totalMillis, long connectMillis, long idleMillis) {
-    /** Young enough for servers that close idle connections after 15 s or more. */
-    private static final long IDLE_MILLIS = 10_000;
+    /** Short enough for servers that close idle connections after 15 s or more. */
+    private static final long DEFAULT_IDLE_MILLIS = 10_000;
 
     /**
-     * Returns limits with one for all of the call.
+     * Returns limits in which the total applies to opening a connection as well.
      *
-     * @param totalMillis how long all of it may take
+     * @param totalMillis the time limit of the whole call, in milliseconds
      * @return the limits
      */
     public static CallLimits of(long totalMillis) {
-        return new CallLimits(totalMillis, totalMillis, IDLE_MILLIS);
+        return new CallLimits(totalMillis, totalMillis, DEFAULT_IDLE_MILLIS);
     }
 }
--- a/link/src/main/java/org/tamaracktrack/link/http/ConnectionPool.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/ConnectionPool.java
@@ -17,21 +17,22 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Connections that are open and idle, by server; each carries one call at a time. */
+/** A pool of idle connections by server address. A connection carries one call at a time. */
 final class ConnectionPool {
     private static final int MAXIMUM_IDLE = 64;
 
-    /** Servers that do not say how long they keep a connection are taken to keep it this long. */
-    private static final long UNSTATED_IDLE_MILLIS = 10_000;
+    /** The assumed keep-alive time of servers that don't state one. */
+    private static final long DEFAULT_KEEP_ALIVE_MILLIS = 10_000;
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final UndertowClient client;
     private final XnioWorker worker;
     private final ByteBufferPool buffers;
-    private final Map<InetSocketAddress, Deque<Idle>> idle = new ConcurrentHashMap<>();
+    private final Map<InetSocketAddress, Deque<IdleConnection>> idle = new ConcurrentHashMap<>();
 
-    private record Idle(ClientConnection connection, long sinceNanos, long keptMillis) {}
+    private record IdleConnection(
+            ClientConnection connection, long idleSinceNanos, long keepAliveMillis) {}
 
     private ConnectionPool(UndertowClient client, XnioWorker worker, ByteBufferPool buffers) {
         this.client = client;
@@ -43,25 +44,30 @@
         return new ConnectionPool(client, worker, buffers);
     }
 
-    /** Takes an idle connection that is still open and has not been idle for too long. */
+    /**
+     * Removes and returns an idle connection that is still open and has been idle for less than the
+     * given time.
+     */
     Optional<ClientConnection> take(InetSocketAddress address, long idleMillis) {
-        Deque<Idle> connections = idle.get(address);
+        Deque<IdleConnection> connections = idle.get(address);
         while (connections != null) {
-            Idle candidate = connections.pollFirst();
+            IdleConnection candidate = connections.pollFirst();
             if (candidate == null) {
                 return Optional.empty();
             }
-            // The server may be closing a connection that has been idle for long just as a call is
-            // sent on it; the call then fails with its outcome unknown though it never ran. Young
-            // connections are far below any server's idle limit.
-            long idleFor =
-                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - candidate.sinceNanos());
-            if (idleFor >= candidate.keptMillis() || !candidate.connection().isOpen()) {
+            // A server may close a connection that has been idle for a long time just as a call is
+            // sent on it. The call then fails with an unknown outcome although the server never
+            // executed it. Connections that were idle for a short time are far below the idle limit
+            // of any server.
+            long idleForMillis =
+                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - candidate.idleSinceNanos());
+            if (idleForMillis >= candidate.keepAliveMillis() || !candidate.connection().isOpen()) {
                 IoUtils.safeClose(candidate.connection());
-            } else if (idleFor < idleMillis) {
+            } else if (idleForMillis < idleMillis) {
                 return Optional.of(candidate.connection());
             } else {
-                // The youngest is too old for this call and young enough for others.
+                // The most recently used connection has been idle too long for this call, but not
+                // for others.
                 connections.addFirst(candidate);
                 return Optional.empty();
             }
@@ -74,17 +80,17 @@
         client.connect(callback, uri, worker, buffers, OPTIONS);
     }
 
-    void giveBack(InetSocketAddress address, ClientConnection connection) {
-        giveBack(address, connection, UNSTATED_IDLE_MILLIS);
+    void release(InetSocketAddress address, ClientConnection connection) {
+        release(address, connection, DEFAULT_KEEP_ALIVE_MILLIS);
     }
 
-    void giveBack(InetSocketAddress address, ClientConnection connection, long keptMillis) {
-        Deque<Idle> connections =
+    void release(InetSocketAddress address, ClientConnection connection, long keepAliveMillis) {
+        Deque<IdleConnection> connections =
                 idle.computeIfAbsent(address, key -> new ConcurrentLinkedDeque<>());
         if (!connection.isOpen() || connections.size() >= MAXIMUM_IDLE) {
             IoUtils.safeClose(connection);
             return;
         }
-        connections.addFirst(new Idle(connection, System.nanoTime(), keptMillis));
+        connections.addFirst(new IdleConnection(connection, System.nanoTime(), keepAliveMillis));
     }
 }
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpCall.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpCall.java
@@ -5,14 +5,15 @@
 import java.util.Objects;
 
 /**
- * A call to make.
+ * An HTTP call to be made.
  *
- * @param address the server, IP number and port
+ * @param address the IP address and port of the server
  * @param method the HTTP method
- * @param path path and query
- * @param headers headers besides the length; a {@code host} among them replaces the address
+ * @param path the path and query
+ * @param headers the headers except the length; without a {@code host} header the address is sent
+ *     as host
  * @param body the body; empty for none
- * @param limits how long its parts may take
+ * @param limits the time limits
  */
 public record HttpCall(
         InetSocketAddress address,
@@ -22,7 +23,7 @@
         byte[] body,
         CallLimits limits) {
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_BODY = {};
 
     /** Checks the arguments. */
     public HttpCall {
@@ -33,14 +34,14 @@
     }
 
     /**
-     * Makes a call with one limit for all of it.
+     * Creates a call with a single time limit.
      *
-     * @param address the server, IP number and port
+     * @param address the IP address and port of the server
      * @param method the HTTP method
-     * @param path path and query
-     * @param headers headers besides length and host
+     * @param path the path and query
+     * @param headers the headers except the length
      * @param body the body; empty for none
-     * @param timeoutMillis how long all of it may take
+     * @param timeoutMillis the time limit of the whole call, in milliseconds
      */
     public HttpCall(
             InetSocketAddress address,
@@ -53,33 +54,33 @@
     }
 
     /**
-     * Returns how long all of the call may take.
+     * Returns the time limit of the whole call.
      *
-     * @return the time in milliseconds
+     * @return the time limit in milliseconds
      */
     public long timeoutMillis() {
         return limits.totalMillis();
     }
 
     /**
-     * Returns a call without a body.
+     * Returns a GET call without a body.
      *
-     * @param address the server
-     * @param path path and query
-     * @param timeoutMillis how long all of it may take
+     * @param address the IP address and port of the server
+     * @param path the path and query
+     * @param timeoutMillis the time limit of the whole call, in milliseconds
      * @return the call
      */
     public static HttpCall get(InetSocketAddress address, String path, long timeoutMillis) {
-        return new HttpCall(address, "GET", path, Map.of(), NOTHING, timeoutMillis);
+        return new HttpCall(address, "GET", path, Map.of(), NO_BODY, timeoutMillis);
     }
 
     /**
-     * Returns a call with a JSON body.
+     * Returns a POST call with a JSON body.
      *
-     * @param address the server
-     * @param path path and query
+     * @param address the IP address and port of the server
+     * @param path the path and query
      * @param body the body
-     * @param timeoutMillis how long all of it may take
+     * @param timeoutMillis the time limit of the whole call, in milliseconds
      * @return the call
      */
     public static HttpCall post(
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpCallException.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpCallException.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** A call failed. */
+/** Thrown when an HTTP call fails. */
 public final class HttpCallException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -16,8 +16,8 @@
     /**
      * Returns an exception.
      *
-     * @param failure how far the call got
-     * @param message a sentence for people
+     * @param failure the stage at which the call failed
+     * @param message a description for log lines
      * @return the exception
      */
     public static HttpCallException of(HttpFailure failure, String message) {
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Returns how far the call got.
+     * Returns the stage at which the call failed.
      *
      * @return the failure
      */
--- a/link/src/main/java/org/tamaracktrack/link/http/Exchange.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpExchange.java
@@ -30,10 +30,15 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One call: opens or takes a connection, sends, reads. Its state belongs to one thread. */
-final class Exchange implements HttpStream {
-    /** A thread that is this late with a time limit is late with what it reads too. */
-    private static final long LATE_MILLIS = 50;
+/**
+ * Executes one call: opens a connection or takes one from the pool, sends the request and reads the
+ * response. State that isn't volatile belongs to the connection's input/output thread.
+ */
+final class HttpExchange implements HttpStream {
+    /**
+     * If a timer fires later than this, the thread was delayed and may have unread data as well.
+     */
+    private static final long LATE_THRESHOLD_MILLIS = 50;
 
     private final HttpCall call;
     private final BooleanSupplier maySend;
@@ -45,14 +50,14 @@
     private Optional<ClientConnection> connection = Optional.empty();
     private Optional<StreamSourceChannel> source = Optional.empty();
     private Optional<XnioExecutor.Key> timer = Optional.empty();
-    private HttpFailure failureNow = HttpFailure.NOT_SENT;
+    private HttpFailure currentFailure = HttpFailure.NOT_SENT;
     private volatile boolean ended;
-    private boolean kept;
-    private boolean wholeSent;
-    private long keptMillis;
+    private boolean reused;
+    private boolean requestSent;
+    private long keepAliveMillis;
     private volatile boolean paused;
 
-    private Exchange(
+    private HttpExchange(
             HttpCall call,
             BooleanSupplier maySend,
             HttpListener listener,
@@ -68,14 +73,14 @@
         this.buffers = buffers;
     }
 
-    static Exchange start(
+    static HttpExchange start(
             HttpCall call,
             BooleanSupplier maySend,
             HttpListener listener,
             ConnectionPool pool,
             XnioIoThread ioThread,
             ByteBufferPool buffers) {
-        Exchange exchange = new Exchange(call, maySend, listener, pool, ioThread, buffers);
+        HttpExchange exchange = new HttpExchange(call, maySend, listener, pool, ioThread, buffers);
         exchange.connect();
         return exchange;
     }
@@ -83,8 +88,8 @@
     private void connect() {
         Optional<ClientConnection> idle = pool.take(call.address(), call.limits().idleMillis());
         if (idle.isPresent()) {
-            kept = true;
-            adopt(idle.get());
+            reused = true;
+            sendOn(idle.get());
             return;
         }
         pool.open(
@@ -92,7 +97,7 @@
                 new ClientCallback<>() {
                     @Override
                     public void completed(ClientConnection opened) {
-                        adopt(opened);
+                        sendOn(opened);
                     }
 
                     @Override
@@ -100,19 +105,19 @@
                         firstThread.execute(() -> fail(HttpFailure.NOT_SENT));
                     }
                 });
-        // The connection attempt has no time limit of its own.
-        limitConnecting(call.limits().connectMillis(), true);
+        // Undertow's client doesn't limit the time for connecting.
+        limitConnectTime(call.limits().connectMillis(), true);
     }
 
-    private void limitConnecting(long millis, boolean mayLookAgain) {
+    private void limitConnectTime(long millis, boolean mayExtend) {
         long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         firstThread.executeAfter(
                 () -> {
                     if (connection.isPresent()) {
                         return;
                     }
-                    if (mayLookAgain && late(System.nanoTime() - dueNanos)) {
-                        limitConnecting(LATE_MILLIS, false);
+                    if (mayExtend && isLate(System.nanoTime() - dueNanos)) {
+                        limitConnectTime(LATE_THRESHOLD_MILLIS, false);
                     } else {
                         fail(HttpFailure.NOT_SENT);
                     }
@@ -121,17 +126,17 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    // One that was kept before may be closed by its server at any moment; given back now it would
-    // count as young.
-    private void giveBackUnused(ClientConnection opened) {
-        if (kept) {
+    // The server may close a reused connection at any time, and returning it to the pool would
+    // reset its idle time. So only a new connection is returned.
+    private void releaseUnused(ClientConnection opened) {
+        if (reused) {
             IoUtils.safeClose(opened);
         } else {
-            pool.giveBack(call.address(), opened);
+            pool.release(call.address(), opened);
         }
     }
 
-    private void adopt(ClientConnection opened) {
+    private void sendOn(ClientConnection opened) {
         thread = opened.getIoThread();
         if (Thread.currentThread() == thread) {
             send(opened);
@@ -142,46 +147,48 @@
 
     private void send(ClientConnection opened) {
         if (ended) {
-            giveBackUnused(opened);
+            releaseUnused(opened);
             return;
         }
-        // A process may be frozen between the decision to call and this moment. Sent after its
-        // time, an order would act on memory that a successor has given away, and a request that
-        // its caller was told had not run would run.
+        // The process may have been frozen between the decision to call and this moment. If a call
+        // were sent after its deadline, an order could use memory that a successor has already
+        // assigned to something else, and a request could run although its caller was told that it
+        // had not.
         if (!maySend.getAsBoolean()) {
-            giveBackUnused(opened);
+            releaseUnused(opened);
             fail(HttpFailure.NOT_SENT);
             return;
         }
         connection = Optional.of(opened);
-        limit(call.timeoutMillis(), this::timeIsUp);
-        // From here on bytes may reach the server, so the call is no longer "not sent".
-        failureNow = HttpFailure.NO_ANSWER;
+        startTimer(call.timeoutMillis(), this::handleTimeout);
+        // From here on bytes may reach the server, so a failure no longer counts as NOT_SENT.
+        currentFailure = HttpFailure.NO_ANSWER;
         opened.sendRequest(request(), callback(this::sendBody));
     }
 
-    private void limit(long millis, LongConsumer whenOver) {
+    private void startTimer(long millis, LongConsumer onExpired) {
         long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         timer =
                 Optional.of(
                         thread.executeAfter(
-                                () -> whenOver.accept(System.nanoTime() - dueNanos),
+                                () -> onExpired.accept(System.nanoTime() - dueNanos),
                                 millis,
                                 TimeUnit.MILLISECONDS));
     }
 
-    // A thread that was held up comes to its timers before its sockets. Given up at once, an answer
-    // that has long been here would count as none, and the server as away.
-    private void timeIsUp(long lateNanos) {
-        if (late(lateNanos)) {
-            limit(LATE_MILLIS, evenLater -> fail(HttpFailure.TIMED_OUT));
+    // A delayed thread runs its timers before it reads its sockets. If a late timer failed the call
+    // at once, a response that arrived in time would be lost and the server would be considered
+    // unreachable.
+    private void handleTimeout(long lateNanos) {
+        if (isLate(lateNanos)) {
+            startTimer(LATE_THRESHOLD_MILLIS, ignored -> fail(HttpFailure.TIMED_OUT));
         } else {
             fail(HttpFailure.TIMED_OUT);
         }
     }
 
-    private static boolean late(long lateNanos) {
-        return TimeUnit.NANOSECONDS.toMillis(lateNanos) > LATE_MILLIS;
+    private static boolean isLate(long lateNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(lateNanos) > LATE_THRESHOLD_MILLIS;
     }
 
     private ClientRequest request() {
@@ -206,7 +213,7 @@
 
             @Override
             public void failed(IOException failure) {
-                fail(failureNow);
+                fail(currentFailure);
             }
         };
     }
@@ -221,34 +228,35 @@
         try {
             while (body.hasRemaining()) {
                 if (sink.write(body) == 0) {
-                    sink.getWriteSetter().set(channel -> writeOn(sink, body));
+                    sink.getWriteSetter().set(channel -> continueWriting(sink, body));
                     sink.resumeWrites();
                     return;
                 }
             }
             sink.shutdownWrites();
             if (sink.flush()) {
-                wholeSent = true;
+                requestSent = true;
                 return;
             }
             sink.getWriteSetter()
                     .set(
                             ChannelListeners.flushingChannelListener(
                                     (ChannelListener<StreamSinkChannel>)
-                                            flushed -> wholeSent = true,
+                                            flushed -> requestSent = true,
                                     null));
             sink.resumeWrites();
         } catch (IOException failure) {
-            fail(failureNow);
+            fail(currentFailure);
         }
     }
 
-    // A server takes a request whose body is long in coming when the last of it arrives.
-    private void writeOn(StreamSinkChannel sink, ByteBuffer body) {
+    // The server executes the request when the last part of its body arrives, so the condition is
+    // checked again before each part.
+    private void continueWriting(StreamSinkChannel sink, ByteBuffer body) {
         if (maySend.getAsBoolean()) {
             write(sink, body);
         } else {
-            fail(failureNow);
+            fail(currentFailure);
         }
     }
 
@@ -256,9 +264,9 @@
         if (ended) {
             return;
         }
-        failureNow = HttpFailure.ANSWER_CUT;
+        currentFailure = HttpFailure.ANSWER_CUT;
         ClientResponse response = exchange.getResponse();
-        keptMillis = KeepAlive.millis(response.getResponseHeaders());
+        keepAliveMillis = KeepAlive.millis(response.getResponseHeaders());
         listener.onHead(response.getResponseCode(), headers(response));
         StreamSourceChannel channel = exchange.getResponseChannel();
         source = Optional.of(channel);
@@ -301,48 +309,49 @@
                 listener.onBytes(bytes);
             }
         } catch (IOException failure) {
-            fail(failureNow);
+            fail(currentFailure);
         }
     }
 
     private void complete() {
-        if (end()) {
-            connection.ifPresent(this::release);
+        if (markEnded()) {
+            connection.ifPresent(this::releaseAfterResponse);
             listener.onEnd();
         }
     }
 
-    // A server may answer before it has read the whole body and read on later. Used again, the
-    // connection would carry the next request where the rest of this one's body is due.
-    private void release(ClientConnection open) {
-        if (wholeSent && keptMillis > 0) {
-            pool.giveBack(call.address(), open, keptMillis);
+    // A server may respond before it has read the whole body, and read the rest later. If the
+    // connection were reused, the server would take the next request for the rest of this body. So
+    // it is reused only if the request was sent completely.
+    private void releaseAfterResponse(ClientConnection finished) {
+        if (requestSent && keepAliveMillis > 0) {
+            pool.release(call.address(), finished, keepAliveMillis);
         } else {
-            IoUtils.safeClose(open);
+            IoUtils.safeClose(finished);
         }
     }
 
     private void fail(HttpFailure failure) {
-        if (end()) {
-            connection.ifPresent(Exchange::reset);
+        if (markEnded()) {
+            connection.ifPresent(HttpExchange::reset);
             listener.onFailure(failure);
         }
     }
 
-    // Closed in order, Undertow's connection first waits for the answer of a request under way, and
-    // the server runs it for nobody. Taken out of Undertow's hands, the connection can be reset,
+    // A regular close makes Undertow wait for the response of the request in progress, which the
+    // server would execute needlessly. After performUpgrade() the raw connection can be reset,
     // which the server notices at once.
-    private static void reset(ClientConnection open) {
+    private static void reset(ClientConnection client) {
         try {
-            StreamConnection raw = open.performUpgrade();
+            StreamConnection raw = client.performUpgrade();
             raw.setOption(Options.CLOSE_ABORT, true);
             IoUtils.safeClose(raw);
         } catch (IOException closed) {
-            IoUtils.safeClose(open);
+            IoUtils.safeClose(client);
         }
     }
 
-    private synchronized boolean end() {
+    private synchronized boolean markEnded() {
         if (ended) {
             return false;
         }
@@ -353,8 +362,9 @@
 
     @Override
     public void pause() {
-        // Set at once, not on the exchange's thread: that thread may be inside the read loop, which
-        // would go on reading a fast server's answer into memory before it came to the task.
+        // Set here and not in the task, because the exchange's thread may be inside the read loop.
+        // It would continue to read the response of a fast server into memory before it ran the
+        // task.
         paused = true;
         thread.execute(
                 () -> {
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpFailure.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpFailure.java
@@ -2,17 +2,17 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** How far a call got before it failed. */
+/** The stage at which a call failed. */
 public enum HttpFailure {
-    /** The connection could not be opened: the server saw nothing. */
+    /** The request was not sent, so the server received nothing of it. */
     NOT_SENT("not_sent"),
-    /** Some of the call may have been sent and no answer came. */
+    /** The request may have been sent in part or completely, and no response arrived. */
     NO_ANSWER("no_answer"),
-    /** The answer began and broke off. */
+    /** The response began and was cut off. */
     ANSWER_CUT("answer_cut"),
-    /** The time for the call passed. */
+    /** The time limit of the call passed. */
     TIMED_OUT("timed_out"),
-    /** This side cancelled the call. */
+    /** The call was cancelled locally. */
     CANCELLED("cancelled");
 
     private final String text;
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpListener.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpListener.java
@@ -3,33 +3,36 @@
 import java.util.Map;
 
 /**
- * Hears of a streamed answer. Called by an input/output thread, one call at a time, so it must not
- * block. Ends with exactly one of {@code onEnd} and {@code onFailure}.
+ * Receives a streamed response. Methods are called on an input/output thread, one at a time, and
+ * must not block. The last call is exactly one of {@code onEnd} and {@code onFailure}.
  */
 public interface HttpListener {
 
     /**
-     * The head of the answer.
+     * Handles the status and headers of the response.
      *
      * @param status the HTTP status
-     * @param headers the headers, names in lower case
+     * @param headers the headers by name in lower case
      */
     void onHead(int status, Map<String, String> headers);
 
     /**
-     * A part of the body.
+     * Handles a part of the body.
      *
      * @param bytes the part
      */
     void onBytes(byte[] bytes);
 
-    /** The body is whole, as its length or last chunk shows. */
+    /**
+     * Handles the end of the response: the body is complete according to its length or its last
+     * chunk.
+     */
     void onEnd();
 
     /**
-     * The call failed.
+     * Handles a failure of the call.
      *
-     * @param failure how far it got
+     * @param failure the stage at which the call failed
      */
     void onFailure(HttpFailure failure);
 }
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpResponse.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpResponse.java
@@ -4,10 +4,10 @@
 import java.util.Objects;
 
 /**
- * A whole answer.
+ * A complete HTTP response.
  *
  * @param status the HTTP status
- * @param headers the headers, names in lower case, the first value of each
+ * @param headers the first value of each header by its name in lower case
  * @param body the body
  */
 public record HttpResponse(int status, Map<String, String> headers, byte[] body) {
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpStream.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpStream.java
@@ -1,14 +1,17 @@
 package org.tamaracktrack.link.http;
 
-/** A streamed call under way. */
+/** A call in progress whose response is streamed. */
 public interface HttpStream {
 
-    /** Stops reading, so that TCP holds the server back. A part under way may still arrive. */
+    /**
+     * Stops reading, so that TCP flow control slows the server down. The listener may still receive
+     * a part that is being read.
+     */
     void pause();
 
-    /** Reads on. */
+    /** Resumes reading. */
     void resume();
 
-    /** Closes the connection; the listener hears {@code CANCELLED} unless it has already ended. */
+    /** Closes the connection. The call fails with {@code CANCELLED} unless it has already ended. */
     void cancel();
 }
--- a/link/src/main/java/org/tamaracktrack/link/http/UndertowHttpCaller.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/UndertowHttpCaller.java
@@ -22,7 +22,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Calls by Undertow's client. */
+/** Makes HTTP calls with Undertow's client. */
 public final class UndertowHttpCaller implements HttpCaller {
     private static final int IO_THREADS = 2;
     private static final int BUFFER_BYTES = 16 * 1024;
@@ -31,20 +31,20 @@
     private final ByteBufferPool buffers;
     private final ConnectionPool pool;
 
-    private final boolean owner;
+    private final boolean ownsResources;
 
-    private UndertowHttpCaller(XnioWorker worker, ByteBufferPool buffers, boolean owner) {
+    private UndertowHttpCaller(XnioWorker worker, ByteBufferPool buffers, boolean ownsResources) {
         this.worker = worker;
         this.buffers = buffers;
-        this.owner = owner;
+        this.ownsResources = ownsResources;
         this.pool = ConnectionPool.of(UndertowClient.getInstance(), worker, buffers);
     }
 
     /**
-     * Starts a caller.
+     * Starts a caller with threads and buffers of its own.
      *
      * @return the caller
-     * @throws TamaracktrackException with {@code INTERNAL} when its threads can't be started
+     * @throws TamaracktrackException with {@code INTERNAL} if the threads can't be started
      */
     public static UndertowHttpCaller of() {
         try {
@@ -66,10 +66,11 @@
     }
 
     /**
-     * Returns a caller that uses threads and buffers of the program's. Closing it closes neither.
+     * Returns a caller that uses an existing worker and buffer pool. Closing the caller closes
+     * neither.
      *
-     * @param worker the threads
-     * @param buffers the buffers
+     * @param worker the worker
+     * @param buffers the buffer pool
      * @return the caller
      */
     public static UndertowHttpCaller sharing(XnioWorker worker, ByteBufferPool buffers) {
@@ -100,55 +101,56 @@
         Objects.requireNonNull(call, "call is null");
         Objects.requireNonNull(maySend, "maySend is null");
         Objects.requireNonNull(listener, "listener is null");
-        return Exchange.start(call, maySend, listener, pool, worker.getIoThread(), buffers);
+        return HttpExchange.start(call, maySend, listener, pool, worker.getIoThread(), buffers);
     }
 
     @Override
     public CompletableFuture<Boolean> refusesConnections(
             InetSocketAddress address, long limitMillis) {
-        return tried(address, limitMillis, opened -> pool.giveBack(address, opened))
-                .thenApply(Connecting.REFUSED::equals);
+        return tryConnect(address, limitMillis, opened -> pool.release(address, opened))
+                .thenApply(ConnectOutcome.REFUSED::equals);
     }
 
     @Override
     public CompletableFuture<Boolean> answersConnections(
             InetSocketAddress address, long limitMillis) {
-        return tried(address, limitMillis, IoUtils::safeClose)
-                .thenApply(end -> end != Connecting.UNANSWERED);
+        return tryConnect(address, limitMillis, IoUtils::safeClose)
+                .thenApply(outcome -> outcome != ConnectOutcome.UNANSWERED);
     }
 
-    private enum Connecting {
+    private enum ConnectOutcome {
         OPENED,
         REFUSED,
         UNANSWERED
     }
 
-    private CompletableFuture<Connecting> tried(
+    private CompletableFuture<ConnectOutcome> tryConnect(
             InetSocketAddress address, long limitMillis, Consumer<ClientConnection> whenOpened) {
-        CompletableFuture<Connecting> end = new CompletableFuture<>();
+        CompletableFuture<ConnectOutcome> outcome = new CompletableFuture<>();
         pool.open(
                 address,
                 new ClientCallback<>() {
                     @Override
                     public void completed(ClientConnection opened) {
                         whenOpened.accept(opened);
-                        end.complete(Connecting.OPENED);
+                        outcome.complete(ConnectOutcome.OPENED);
                     }
 
                     @Override
                     public void failed(IOException failure) {
-                        end.complete(
+                        outcome.complete(
                                 failure instanceof ConnectException
-                                        ? Connecting.REFUSED
-                                        : Connecting.UNANSWERED);
+                                        ? ConnectOutcome.REFUSED
+                                        : ConnectOutcome.UNANSWERED);
                     }
                 });
-        return end.completeOnTimeout(Connecting.UNANSWERED, limitMillis, TimeUnit.MILLISECONDS);
+        return outcome.completeOnTimeout(
+                ConnectOutcome.UNANSWERED, limitMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void close() {
-        if (owner) {
+        if (ownsResources) {
             worker.shutdownNow();
             buffers.close();
         }
--- a/link/src/main/java/org/tamaracktrack/link/http/package-info.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP calls to outside systems, by Undertow's client. */
+/** Makes HTTP calls to engines and platform services with Undertow's client. */
 package org.tamaracktrack.link.http;
--- a/link/src/main/java/org/tamaracktrack/link/topic/StoreEra.java
+++ b/link/src/main/java/org/tamaracktrack/link/topic/StoreEra.java
@@ -65,7 +65,7 @@
     /**
      * Returns the newest era observed.
      *
-     * @return the number of restores of the era; 0 if none has been observed or it is 0
+     * @return the number of the era; 0 if none has been observed
      */
     public synchronized long newest() {
         return Math.max(0, newest);
--- a/link/src/test/java/org/tamaracktrack/link/frame/XnioFrameTransportTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/frame/XnioFrameTransportTest.java
@@ -178,8 +178,8 @@
 
         @Test
         void shouldRefuseAPeerThatHasAnotherSecret() {
-            // A peer connects with another secret. The handshake fails on both sides, and the
-            // connection is closed before any message is read.
+            // A peer connects with another secret. The handshake fails, and the connection is
+            // closed before any message is read.
             XnioFrameTransport untrustedPeer = XnioFrameTransport.of("guess");
             try {
                 untrustedPeer.connect(server.listen(ANY_PORT, serverHandler), clientHandler);
--- a/link/src/test/java/org/tamaracktrack/link/http/UndertowHttpCallerTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/http/UndertowHttpCallerTest.java
@@ -23,7 +23,7 @@
 
 class UndertowHttpCallerTest {
     private static final long TIMEOUT_MILLIS = 10_000;
-    private static final int LARGE = 3_000_000;
+    private static final int LARGE_BODY_BYTES = 3_000_000;
 
     private final UndertowHttpCaller caller = UndertowHttpCaller.of();
     private final Undertow server = startServer();
@@ -38,7 +38,7 @@
         Undertow server =
                 Undertow.builder()
                         .addHttpListener(0, "127.0.0.1")
-                        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 2L * LARGE)
+                        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 2L * LARGE_BODY_BYTES)
                         .setHandler(
                                 exchange ->
                                         exchange.getRequestReceiver()
@@ -62,54 +62,59 @@
     }
 
     @Test
-    void shouldGiveStatusHeadersAndBodyWhenTheServerAnswers() {
-        byte[] body = new byte[LARGE];
-        body[LARGE - 1] = 7;
+    void shouldReturnStatusHeadersAndBodyOfTheResponse() {
+        byte[] body = new byte[LARGE_BODY_BYTES];
+        body[LARGE_BODY_BYTES - 1] = 7;
 
-        HttpResponse answer = caller.call(HttpCall.post(address(), "/echo", body, TIMEOUT_MILLIS));
+        HttpResponse response =
+                caller.call(HttpCall.post(address(), "/echo", body, TIMEOUT_MILLIS));
 
-        assertThat(answer.status()).isEqualTo(201);
-        assertThat(answer.headers().get("etag")).isEqualTo("x");
-        assertThat(answer.body()).isEqualTo(body);
+        assertThat(response.status()).isEqualTo(201);
+        assertThat(response.headers().get("etag")).isEqualTo("x");
+        assertThat(response.body()).isEqualTo(body);
     }
 
     @Test
-    void shouldGiveEachCallItsOwnAnswerWhenConnectionsAreUsedAgain() {
+    void shouldReturnTheMatchingResponseWhenConnectionsAreReused() {
         for (int number = 0; number < 200; number++) {
             byte[] body = ("call " + number).getBytes(StandardCharsets.UTF_8);
 
-            HttpResponse answer = caller.call(HttpCall.post(address(), "/", body, TIMEOUT_MILLIS));
+            HttpResponse response =
+                    caller.call(HttpCall.post(address(), "/", body, TIMEOUT_MILLIS));
 
-            assertThat(answer.body()).isEqualTo(body);
+            assertThat(response.body()).isEqualTo(body);
         }
     }
 
     @Test
-    void shouldReadNoFurtherWhenPausedUntilResumed() throws Exception {
-        // The listener pauses at the first bytes. Another call goes through meanwhile, so the
-        // threads are idle; the paused answer must not have been read on into memory.
-        CompletableFuture<Integer> total = new CompletableFuture<>();
-        CompletableFuture<Integer> first = new CompletableFuture<>();
+    void shouldStopReadingWhilePausedAndContinueWhenResumed() throws Exception {
+        // The listener pauses at the first bytes. A second call completes in the meantime, which
+        // shows that the threads are idle; the rest of the paused response must not have been read
+        // into memory.
+        CompletableFuture<Integer> totalBytes = new CompletableFuture<>();
+        CompletableFuture<Integer> firstBytes = new CompletableFuture<>();
         CompletableFuture<HttpStream> stream = new CompletableFuture<>();
-        Counting listener = new Counting(total, first, stream);
+        CountingListener listener = new CountingListener(totalBytes, firstBytes, stream);
         stream.complete(
                 caller.stream(
-                        HttpCall.post(address(), "/", new byte[LARGE], TIMEOUT_MILLIS), listener));
+                        HttpCall.post(address(), "/", new byte[LARGE_BODY_BYTES], TIMEOUT_MILLIS),
+                        listener));
 
-        first.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        firstBytes.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         caller.call(HttpCall.post(address(), "/", new byte[10], TIMEOUT_MILLIS));
-        int whilePaused = listener.count;
+        int whilePaused = listener.receivedBytes;
         stream.get().resume();
 
-        assertThat(whilePaused).isLessThan(LARGE / 2);
-        assertThat(total.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isEqualTo(LARGE);
+        assertThat(whilePaused).isLessThan(LARGE_BODY_BYTES / 2);
+        assertThat(totalBytes.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
+                .isEqualTo(LARGE_BODY_BYTES);
     }
 
     @Nested
     class Failures {
 
         @Test
-        void shouldSayNotSentWhenNobodyListens() throws IOException {
+        void shouldReportNotSentWhenNoServerListens() throws IOException {
             InetSocketAddress free;
             try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 free = (InetSocketAddress) socket.getLocalSocketAddress();
@@ -120,30 +125,32 @@
         }
 
         @Test
-        void shouldSayTimedOutWhenTheServerIsSilent() throws IOException {
-            try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                InetSocketAddress there = (InetSocketAddress) silent.getLocalSocketAddress();
+        void shouldReportTimedOutWhenTheServerDoesNotRespond() throws IOException {
+            try (ServerSocket silentServer =
+                    new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                InetSocketAddress serverAddress =
+                        (InetSocketAddress) silentServer.getLocalSocketAddress();
 
-                assertThat(failureOf(HttpCall.get(there, "/", 200)))
+                assertThat(failureOf(HttpCall.get(serverAddress, "/", 200)))
                         .isEqualTo(HttpFailure.TIMED_OUT);
             }
         }
 
         @Test
-        void shouldSayNoAnswerWhenTheServerClosesWithoutOne() throws Exception {
+        void shouldReportNoAnswerWhenTheServerClosesWithoutAResponse() throws Exception {
             assertThat(failureWhenServerSends("")).isEqualTo(HttpFailure.NO_ANSWER);
         }
 
         @Test
-        void shouldSayCutWhenALengthIsNotReached() throws Exception {
-            // The server promises ten bytes, sends four and dies. Taken as an end, the caller would
-            // be given half an answer as a whole one.
+        void shouldReportAnswerCutWhenTheBodyIsShorterThanItsContentLength() throws Exception {
+            // The server announces ten bytes, sends four and closes the connection. If this counted
+            // as the end, the caller would receive a partial response as a complete one.
             assertThat(failureWhenServerSends("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"))
                     .isEqualTo(HttpFailure.ANSWER_CUT);
         }
 
         @Test
-        void shouldSayCutWhenTheLastChunkIsMissing() throws Exception {
+        void shouldReportAnswerCutWhenTheLastChunkIsMissing() throws Exception {
             assertThat(
                             failureWhenServerSends(
                                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -151,15 +158,16 @@
                     .isEqualTo(HttpFailure.ANSWER_CUT);
         }
 
-        private HttpFailure failureWhenServerSends(String answer) throws Exception {
+        private HttpFailure failureWhenServerSends(String responseText) throws Exception {
             try (ServerSocket socket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                InetSocketAddress there = (InetSocketAddress) socket.getLocalSocketAddress();
+                InetSocketAddress serverAddress =
+                        (InetSocketAddress) socket.getLocalSocketAddress();
                 CompletableFuture<HttpFailure> failure =
                         CompletableFuture.supplyAsync(
-                                () -> failureOf(HttpCall.get(there, "/", TIMEOUT_MILLIS)));
+                                () -> failureOf(HttpCall.get(serverAddress, "/", TIMEOUT_MILLIS)));
                 try (Socket accepted = socket.accept()) {
                     accepted.getInputStream().read();
-                    accepted.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+                    accepted.getOutputStream().write(responseText.getBytes(StandardCharsets.UTF_8));
                     accepted.shutdownOutput();
                     return failure.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 }
@@ -171,14 +179,17 @@
         }
 
         @Test
-        void shouldSendNothingWhenItsTimePassedBeforeTheConnectionOpened() throws Exception {
-            // The decision to call was made, the process was frozen, and the connection opens only
-            // after the call's time. The server must not see it, and the caller hears "not sent".
+        void shouldSendNothingWhenTheCallExpiredBeforeTheConnectionOpened() throws Exception {
+            // The process is frozen after the decision to call, and the connection opens only after
+            // the deadline of the call. The server must not receive the request, and the call must
+            // fail with NOT_SENT.
             try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                InetSocketAddress there = (InetSocketAddress) server.getLocalSocketAddress();
-                Failing listener = new Failing();
+                InetSocketAddress serverAddress =
+                        (InetSocketAddress) server.getLocalSocketAddress();
+                FailureListener listener = new FailureListener();
 
-                caller.stream(HttpCall.get(there, "/", TIMEOUT_MILLIS), () -> false, listener);
+                caller.stream(
+                        HttpCall.get(serverAddress, "/", TIMEOUT_MILLIS), () -> false, listener);
 
                 assertThat(listener.failures.poll(20, TimeUnit.SECONDS))
                         .isEqualTo(HttpFailure.NOT_SENT);
@@ -189,12 +200,14 @@
         }
 
         @Test
-        void shouldSayCancelledOnceWhenCancelled() throws Exception {
-            try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                InetSocketAddress there = (InetSocketAddress) silent.getLocalSocketAddress();
-                Failing listener = new Failing();
+        void shouldReportCancelledOnceWhenCancelledTwice() throws Exception {
+            try (ServerSocket silentServer =
+                    new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                InetSocketAddress serverAddress =
+                        (InetSocketAddress) silentServer.getLocalSocketAddress();
+                FailureListener listener = new FailureListener();
                 HttpStream stream =
-                        caller.stream(HttpCall.get(there, "/", TIMEOUT_MILLIS), listener);
+                        caller.stream(HttpCall.get(serverAddress, "/", TIMEOUT_MILLIS), listener);
 
                 stream.cancel();
                 stream.cancel();
@@ -206,7 +219,7 @@
         }
     }
 
-    private static class Failing implements HttpListener {
+    private static class FailureListener implements HttpListener {
         final BlockingQueue<HttpFailure> failures = new LinkedBlockingQueue<>();
 
         @Override
@@ -224,32 +237,32 @@
         }
     }
 
-    private static final class Counting extends Failing {
-        private final CompletableFuture<Integer> total;
-        private final CompletableFuture<Integer> first;
+    private static final class CountingListener extends FailureListener {
+        private final CompletableFuture<Integer> totalBytes;
+        private final CompletableFuture<Integer> firstBytes;
         private final CompletableFuture<HttpStream> stream;
-        private volatile int count;
+        private volatile int receivedBytes;
 
-        Counting(
+        CountingListener(
                 CompletableFuture<Integer> total,
                 CompletableFuture<Integer> first,
                 CompletableFuture<HttpStream> stream) {
-            this.total = total;
-            this.first = first;
+            this.totalBytes = total;
+            this.firstBytes = first;
             this.stream = stream;
         }
 
         @Override
         public void onBytes(byte[] bytes) {
-            count += bytes.length;
-            if (first.complete(count)) {
+            receivedBytes += bytes.length;
+            if (firstBytes.complete(receivedBytes)) {
                 stream.join().pause();
             }
         }
 
         @Override
         public void onEnd() {
-            total.complete(count);
+            totalBytes.complete(receivedBytes);
         }
     }
 }
