--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationMessageHandler.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/ConfigurationMessageHandler.java
@@ -28,7 +28,7 @@
      * version leads to a query, and is left for the caller to handle as well. May be called on any
      * thread.
      *
-     * @param connection the connection to the peer on which the message arrived
+     * @param connection the connection on which the message arrived
      * @param message the message
      * @return true when the message concerns only the configuration, so that the caller need not
      *     handle it
--- a/daemon/src/main/java/org/tamaracktrack/daemon/settings/DaemonFlags.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/settings/DaemonFlags.java
@@ -30,7 +30,7 @@
     @Parameter(names = "--host-list-address", description = "IP:PORT of the host list")
     String hostListAddress;
 
-    @Parameter(names = "--peers", description = "IP:PORT,... of daemons with the configuration")
+    @Parameter(names = "--peers", description = "IP:PORT,... to fetch configuration from")
     String peers;
 
     @Parameter(names = "--shared-secret", description = "secret that authenticates daemons")
--- a/link/src/main/java/org/tamaracktrack/link/frame/FrameConnection.java
+++ b/link/src/main/java/org/tamaracktrack/link/frame/FrameConnection.java
@@ -81,7 +81,7 @@
         }
         // The kernel of a frozen peer still accepts connections, and an unauthenticated client may
         // connect without sending anything. Without a time limit, either would keep this connection
-        // open, and whoever waits for it blocked, indefinitely.
+        // open indefinitely, and requests that wait for it would never end.
         stream.getIoThread()
                 .executeAfter(
                         this::failIfHandshakePending,
@@ -204,8 +204,7 @@
 
     @Override
     public void close() {
-        stream.getIoThread()
-                .execute(() -> fail(ErrorCode.CONNECTION_CLOSED, "closed by this side"));
+        stream.getIoThread().execute(() -> fail(ErrorCode.CONNECTION_CLOSED, "closed locally"));
     }
 
     private void fail(ErrorCode code, String message) {
--- a/link/src/main/java/org/tamaracktrack/link/http/HttpExchange.java
+++ b/link/src/main/java/org/tamaracktrack/link/http/HttpExchange.java
@@ -32,11 +32,12 @@
 
 /**
  * Executes one call: opens a connection or takes one from the pool, sends the request and reads the
- * response. State that isn't volatile belongs to the connection's input/output thread.
+ * response. Its state is meant to be used on a single input/output thread, that of the connection.
  */
 final class HttpExchange implements HttpStream {
     /**
-     * If a timer fires later than this, the thread was delayed and may have unread data as well.
+     * A timer that fires later than this shows that its thread was delayed and may have unread
+     * data.
      */
     private static final long LATE_THRESHOLD_MILLIS = 50;
 
--- a/link/src/main/java/org/tamaracktrack/link/log/HttpLogClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/log/HttpLogClient.java
@@ -128,16 +128,16 @@
         }
     }
 
-    private static Batch batch(ReadAnswer answer) {
+    private static Batch batch(ReadAnswer page) {
         List<LogRecord> records = new ArrayList<>();
         List<Long> undecodable = new ArrayList<>();
-        answer.records()
+        page.records()
                 .forEach(
                         raw ->
                                 decode(raw)
                                         .ifPresentOrElse(
                                                 records::add, () -> undecodable.add(raw.offset())));
-        return new Batch(answer.firstOffset(), answer.nextOffset(), records, undecodable);
+        return new Batch(page.firstOffset(), page.nextOffset(), records, undecodable);
     }
 
     // A record written by a newer release, or a damaged one, must not block a reader permanently.
--- a/link/src/main/java/org/tamaracktrack/link/log/LogClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/log/LogClient.java
@@ -30,7 +30,8 @@
      * @param maximum the maximum number of records
      * @param waitMillis how long to wait for the first record, in milliseconds
      * @return the records, and the range of offsets that the log holds
-     * @throws org.tamaracktrack.core.error.TamaracktrackException with {@code LOG_UNAVAILABLE}
+     * @throws org.tamaracktrack.core.error.TamaracktrackException with {@code LOG_UNAVAILABLE} if
+     *     the log can't be read
      */
     Batch read(LogStream stream, long from, int maximum, long waitMillis);
 
@@ -38,8 +39,7 @@
      * The position of an entry that was appended.
      *
      * @param offset the offset of the entry
-     * @param appendedAtMillis the time of the append by the log's clock, in milliseconds since the
-     *     epoch
+     * @param appendedAtMillis the time of the append in milliseconds, by the log's clock
      */
     record Appended(long offset, long appendedAtMillis) {}
 
--- a/link/src/test/java/org/tamaracktrack/link/frame/HandshakeTest.java
+++ b/link/src/test/java/org/tamaracktrack/link/frame/HandshakeTest.java
@@ -17,13 +17,13 @@
         Handshake initiator = Handshake.initiator("secret", FIRST_NONCE);
         Handshake responder = Handshake.responder("secret", SECOND_NONCE);
 
-        Handshake.Step answer = responder.receive(initiator.initialFrame());
-        Handshake.Step proof = initiator.receive(answer.reply().orElseThrow());
-        Handshake.Step end = responder.receive(proof.reply().orElseThrow());
+        Handshake.Step responderStep = responder.receive(initiator.initialFrame());
+        Handshake.Step initiatorStep = initiator.receive(responderStep.reply().orElseThrow());
+        Handshake.Step finalStep = responder.receive(initiatorStep.reply().orElseThrow());
 
-        assertThat(answer.authenticated()).isFalse();
-        assertThat(proof.authenticated()).isTrue();
-        assertThat(end.authenticated()).isTrue();
+        assertThat(responderStep.authenticated()).isFalse();
+        assertThat(initiatorStep.authenticated()).isTrue();
+        assertThat(finalStep.authenticated()).isTrue();
     }
 
     @Nested
@@ -33,9 +33,9 @@
         void shouldRefuseAResponderThatHasAnotherSecret() {
             Handshake initiator = Handshake.initiator("secret", FIRST_NONCE);
             Handshake responder = Handshake.responder("other", SECOND_NONCE);
-            byte[] answer = responder.receive(initiator.initialFrame()).reply().orElseThrow();
+            byte[] reply = responder.receive(initiator.initialFrame()).reply().orElseThrow();
 
-            assertRefused(() -> initiator.receive(answer));
+            assertRefused(() -> initiator.receive(reply));
         }
 
         @Test
@@ -62,8 +62,8 @@
         }
     }
 
-    private static byte[] proofOf(byte[] answer) {
-        return java.util.Arrays.copyOfRange(answer, Handshake.NONCE_BYTES, answer.length);
+    private static byte[] proofOf(byte[] reply) {
+        return java.util.Arrays.copyOfRange(reply, Handshake.NONCE_BYTES, reply.length);
     }
 
     private static void assertRefused(org.junit.jupiter.api.function.Executable action) {
