--- a/link/src/main/java/org/tamaracktrack/link/hosts/HostListClient.java
+++ b/link/src/main/java/org/tamaracktrack/link/hosts/HostListClient.java
@@ -17,7 +17,7 @@
      *
      * @return the state of each listed host
      * @throws org.tamaracktrack.core.error.TamaracktrackException with {@code
-     *     HOST_LIST_UNAVAILABLE}
+     *     HOST_LIST_UNAVAILABLE} if the list can't be read
      */
     Map<HostId, HostState> read();
 }
