--- a/bench/src/main/java/org/tamaracktrack/bench/Main.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/Main.java
@@ -11,13 +11,16 @@
 import org.tamaracktrack.bench.slope.Slopes;
 import org.tamaracktrack.bench.trace.TraceFlags;
 
-/** Measures the system on one machine: the running processes, or its decisions alone. */
+/**
+ * Command line of the bench: runs the system on one host, and measures its running processes or its
+ * decision code alone.
+ */
 public final class Main {
     private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
-    /** A command; its fields are its flags. */
+    /** A subcommand; its annotated fields are its flags. */
     private interface Command {
         int run();
     }
@@ -72,7 +75,8 @@
     }
 
     /**
-     * Runs the program.
+     * Parses the command line, runs the selected subcommand and exits with its status. Exits with
+     * status 2 when no subcommand is given or the command line is invalid.
      *
      * @param arguments the command line
      */
@@ -88,8 +92,8 @@
         commander.setProgramName("bench");
         try {
             commander.parse(arguments);
-        } catch (ParameterException wrong) {
-            System.err.println(wrong.getMessage());
+        } catch (ParameterException invalid) {
+            System.err.println(invalid.getMessage());
             System.exit(EXIT_USAGE);
         }
         if (commander.getParsedCommand() == null) {
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/AnswerCheck.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/AnswerCheck.java
@@ -15,8 +15,8 @@
 /** Decides whether an answer is whole and the answer to the request. */
 public final class AnswerCheck {
     private static final int OK = 200;
-    private static final String DATA = "data: ";
-    private static final String DONE = "[DONE]";
+    private static final String DATA_PREFIX = "data: ";
+    private static final String DONE_EVENT = "[DONE]";
 
     private AnswerCheck() {}
 
@@ -30,9 +30,12 @@
      */
     public static Outcome check(ModelRequest request, int status, byte[] body) {
         if (status != OK) {
-            return error(body);
+            return errorOutcome(body);
         }
-        boolean good = request.stream() ? stream(request, body) : whole(request, body);
+        boolean good =
+                request.stream()
+                        ? isCompleteStream(request, body)
+                        : isCompleteAnswer(request, body);
         return good ? Outcome.WHOLE : Outcome.WRONG;
     }
 
@@ -46,16 +49,16 @@
      */
     public static Outcome check(ServiceRequest request, int status, byte[] body) {
         if (status != OK) {
-            return error(body);
+            return errorOutcome(body);
         }
         boolean good =
-                json(body)
-                        .filter(answer -> text(answer, "service").equals(request.service()))
-                        .filter(answer -> text(answer, "method").equals(request.method()))
-                        .filter(answer -> text(answer, "path").equals(request.path()))
+                parseJson(body)
+                        .filter(answer -> fieldText(answer, "service").equals(request.service()))
+                        .filter(answer -> fieldText(answer, "method").equals(request.method()))
+                        .filter(answer -> fieldText(answer, "path").equals(request.path()))
                         .filter(
                                 answer ->
-                                        text(answer, "body_sha256")
+                                        fieldText(answer, "body_sha256")
                                                 .equals(Sha256.hex(request.body())))
                         .isPresent();
         return good ? Outcome.WHOLE : Outcome.WRONG;
@@ -67,76 +70,76 @@
      * @param body the body as it came
      * @return the code, or empty
      */
-    public static String code(byte[] body) {
-        return json(body).map(answer -> answer.at("/error/code").asText("")).orElse("");
+    public static String errorCode(byte[] body) {
+        return parseJson(body).map(answer -> answer.at("/error/code").asText("")).orElse("");
     }
 
-    private static Outcome error(byte[] body) {
-        String ran = json(body).map(answer -> answer.at("/error/ran").asText("")).orElse("");
+    private static Outcome errorOutcome(byte[] body) {
+        String ran = parseJson(body).map(answer -> answer.at("/error/ran").asText("")).orElse("");
         return ran.equals("no") ? Outcome.NOT_RUN : Outcome.MAY_HAVE_RUN;
     }
 
-    private static boolean whole(ModelRequest request, byte[] body) {
-        return json(body)
-                .filter(answer -> own(request, answer))
+    private static boolean isCompleteAnswer(ModelRequest request, byte[] body) {
+        return parseJson(body)
+                .filter(answer -> answersRequest(request, answer))
                 .filter(
                         answer ->
                                 answer.at("/choices/0/message/content")
                                         .asText()
-                                        .equals(expected(request)))
-                .filter(answer -> used(request, answer))
+                                        .equals(expectedText(request)))
+                .filter(answer -> hasExpectedTokenCount(request, answer))
                 .isPresent();
     }
 
-    private static boolean stream(ModelRequest request, byte[] body) {
+    private static boolean isCompleteStream(ModelRequest request, byte[] body) {
         List<String> events =
                 Arrays.stream(new String(body, StandardCharsets.UTF_8).split("\n\n"))
-                        .filter(event -> event.startsWith(DATA))
-                        .map(event -> event.substring(DATA.length()))
+                        .filter(event -> event.startsWith(DATA_PREFIX))
+                        .map(event -> event.substring(DATA_PREFIX.length()))
                         .toList();
-        if (events.isEmpty() || !events.get(events.size() - 1).equals(DONE)) {
+        if (events.isEmpty() || !events.get(events.size() - 1).equals(DONE_EVENT)) {
             return false;
         }
         List<Optional<JsonNode>> answers =
                 events.stream()
                         .limit(events.size() - 1L)
-                        .map(event -> json(event.getBytes(StandardCharsets.UTF_8)))
+                        .map(event -> parseJson(event.getBytes(StandardCharsets.UTF_8)))
                         .toList();
         String text =
                 answers.stream()
                         .flatMap(Optional::stream)
-                        .filter(answer -> own(request, answer))
+                        .filter(answer -> answersRequest(request, answer))
                         .map(answer -> answer.at("/choices/0/delta/content").asText())
                         .collect(Collectors.joining());
-        return text.equals(expected(request))
+        return text.equals(expectedText(request))
                 && answers.get(answers.size() - 1)
-                        .filter(answer -> used(request, answer))
+                        .filter(answer -> hasExpectedTokenCount(request, answer))
                         .isPresent();
     }
 
-    private static String expected(ModelRequest request) {
+    private static String expectedText(ModelRequest request) {
         String hash = request.promptHash();
         return IntStream.range(0, request.tokens())
                 .mapToObj(index -> AnswerText.token(hash, index))
                 .collect(Collectors.joining());
     }
 
-    private static boolean own(ModelRequest request, JsonNode answer) {
-        return text(answer, "model").equals(request.model())
-                && text(answer, "adapter").equals(request.adapter().orElse(""))
-                && text(answer, "prompt_sha256").equals(request.promptHash());
+    private static boolean answersRequest(ModelRequest request, JsonNode answer) {
+        return fieldText(answer, "model").equals(request.model())
+                && fieldText(answer, "adapter").equals(request.adapter().orElse(""))
+                && fieldText(answer, "prompt_sha256").equals(request.promptHash());
     }
 
-    private static boolean used(ModelRequest request, JsonNode answer) {
+    private static boolean hasExpectedTokenCount(ModelRequest request, JsonNode answer) {
         return answer.at("/usage/completion_tokens").asInt() == request.tokens();
     }
 
-    private static String text(JsonNode answer, String field) {
+    private static String fieldText(JsonNode answer, String field) {
         JsonNode value = answer.get(field);
         return value == null || value.isNull() ? "" : value.asText();
     }
 
-    private static Optional<JsonNode> json(byte[] body) {
+    private static Optional<JsonNode> parseJson(byte[] body) {
         try {
             return Optional.ofNullable(Codecs.json().readTree(body));
         } catch (IOException wrong) {
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/Caller.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/Caller.java
@@ -10,7 +10,7 @@
 
 /** Sends requests and checks what comes back. Safe for use by several threads. */
 public final class Caller {
-    private static final Duration CONNECT_LIMIT = Duration.ofSeconds(5);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
 
     private final HttpClient client;
 
@@ -27,7 +27,7 @@
         return new Caller(
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT_LIMIT)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .build());
     }
 
@@ -96,24 +96,24 @@
                 .handle(
                         (answer, failure) ->
                                 failure == null
-                                        ? answered(start, answer, check)
-                                        : broken(start, failure));
+                                        ? observeAnswer(start, answer, check)
+                                        : observeFailure(start, failure));
     }
 
-    private static Observation answered(
+    private static Observation observeAnswer(
             long start,
             HttpResponse<TimedBody.Body> answer,
             BiFunction<Integer, byte[], Outcome> check) {
         long end = System.nanoTime();
         byte[] body = answer.body().bytes();
         Outcome outcome = check.apply(answer.statusCode(), body);
-        String code = outcome == Outcome.WHOLE ? "" : AnswerCheck.code(body);
+        String code = outcome == Outcome.WHOLE ? "" : AnswerCheck.errorCode(body);
         long firstByte = answer.body().firstByteNanos();
         return new Observation(
                 outcome, answer.statusCode(), code, start, firstByte == 0 ? end : firstByte, end);
     }
 
-    private static Observation broken(long start, Throwable failure) {
+    private static Observation observeFailure(long start, Throwable failure) {
         Throwable cause = failure.getCause() == null ? failure : failure.getCause();
         long end = System.nanoTime();
         String code = cause.getClass().getSimpleName();
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/ModelRequest.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/ModelRequest.java
@@ -34,7 +34,7 @@
         boolean idempotent,
         Optional<String> idempotencyKey) {
 
-    private static final Duration LIMIT = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     /** Checks the arguments. */
     public ModelRequest {
@@ -108,7 +108,7 @@
      * @param key its idempotency key
      * @return the request
      */
-    public ModelRequest once(Optional<String> key) {
+    public ModelRequest nonIdempotent(Optional<String> key) {
         return new ModelRequest(
                 caller, model, adapter, requestClass, prompt, tokens, stream, false, key);
     }
@@ -119,7 +119,7 @@
      * @param name the class
      * @return the request
      */
-    public ModelRequest inClass(String name) {
+    public ModelRequest withRequestClass(String name) {
         return new ModelRequest(
                 caller, model, adapter, name, prompt, tokens, stream, idempotent, idempotencyKey);
     }
@@ -151,7 +151,7 @@
                                 "stream", stream));
         HttpRequest.Builder builder =
                 HttpRequest.newBuilder(URI.create("http://" + address + "/v1/chat/completions"))
-                        .timeout(LIMIT)
+                        .timeout(TIMEOUT)
                         .header("Authorization", "Bearer " + caller.key())
                         .header("Content-Type", "application/json")
                         .header("X-Request-Class", requestClass)
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/ServiceRequest.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/ServiceRequest.java
@@ -24,7 +24,7 @@
         String body,
         Optional<String> idempotencyKey) {
 
-    private static final Duration LIMIT = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     /** Checks the arguments. */
     public ServiceRequest {
@@ -39,7 +39,7 @@
      * @return the call
      */
     public HttpRequest toHttp(String address) {
-        return http("http://" + address + "/v1/services/" + service + path);
+        return buildRequest("http://" + address + "/v1/services/" + service + path);
     }
 
     /**
@@ -49,10 +49,10 @@
      * @return the call
      */
     public HttpRequest toDirectHttp(String address) {
-        return http("http://" + address + path);
+        return buildRequest("http://" + address + path);
     }
 
-    private HttpRequest http(String url) {
+    private HttpRequest buildRequest(String url) {
         URI uri = URI.create(url);
         HttpRequest.BodyPublisher content =
                 body.isEmpty()
@@ -60,7 +60,7 @@
                         : HttpRequest.BodyPublishers.ofString(body);
         HttpRequest.Builder builder =
                 HttpRequest.newBuilder(uri)
-                        .timeout(LIMIT)
+                        .timeout(TIMEOUT)
                         .header("Authorization", "Bearer " + caller.key())
                         .method(method, content);
         idempotencyKey.ifPresent(key -> builder.header("Idempotency-Key", key));
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/SteadyLoad.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/SteadyLoad.java
@@ -16,12 +16,12 @@
     private final IntFunction<ModelRequest> requests;
     private final AtomicInteger sent = new AtomicInteger();
     private final Queue<Exchange> exchanges = new ConcurrentLinkedQueue<>();
-    private final CountDownLatch ended;
+    private final CountDownLatch runningCallers;
     private volatile boolean stopped;
 
     private SteadyLoad(IntFunction<ModelRequest> requests, int callers) {
         this.requests = requests;
-        this.ended = new CountDownLatch(callers);
+        this.runningCallers = new CountDownLatch(callers);
     }
 
     /**
@@ -29,9 +29,9 @@
      *
      * @param address where it was sent
      * @param request the request
-     * @param seen what the caller saw
+     * @param observation what the caller saw
      */
-    public record Exchange(String address, ModelRequest request, Observation seen) {}
+    public record Exchange(String address, ModelRequest request, Observation observation) {}
 
     /**
      * Starts callers.
@@ -46,25 +46,25 @@
         Objects.requireNonNull(requests, "requests is null");
         SteadyLoad load = new SteadyLoad(requests, addresses.size() * callersEach);
         addresses.forEach(
-                address -> IntStream.range(0, callersEach).forEach(each -> load.next(address)));
+                address -> IntStream.range(0, callersEach).forEach(each -> load.sendNext(address)));
         return load;
     }
 
-    private void next(String address) {
+    private void sendNext(String address) {
         if (stopped) {
-            ended.countDown();
+            runningCallers.countDown();
             return;
         }
         ModelRequest request = requests.apply(sent.getAndIncrement());
         caller.send(address, request)
                 .thenAcceptAsync(
                         seen -> {
-                            note(new Exchange(address, request, seen));
-                            next(address);
+                            addExchange(new Exchange(address, request, seen));
+                            sendNext(address);
                         });
     }
 
-    private synchronized void note(Exchange exchange) {
+    private synchronized void addExchange(Exchange exchange) {
         exchanges.add(exchange);
         notifyAll();
     }
@@ -95,7 +95,7 @@
     public List<Exchange> stop() {
         stopped = true;
         try {
-            ended.await();
+            runningCallers.await();
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/bench/src/main/java/org/tamaracktrack/bench/load/Experiment.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Experiment.java
@@ -13,8 +13,8 @@
 import org.tamaracktrack.bench.caller.Caller;
 import org.tamaracktrack.bench.caller.ModelRequest;
 import org.tamaracktrack.bench.caller.Outcome;
+import org.tamaracktrack.bench.report.ObservedRequest;
 import org.tamaracktrack.bench.report.ReportCheck;
-import org.tamaracktrack.bench.report.Seen;
 import org.tamaracktrack.bench.stack.DaemonProcess;
 import org.tamaracktrack.bench.stack.LocalStack;
 import org.tamaracktrack.bench.stack.StackException;
@@ -134,7 +134,7 @@
                                 ExperimentDocument.key(user.accountNames().get(0)),
                                 model,
                                 "warm-up " + asked.size())
-                        .inClass("batch");
+                        .withRequestClass("batch");
         OpenLoad.Answered answer =
                 new OpenLoad.Answered(
                         new Arrival(0, request), caller.send(address, request).join(), 0);
@@ -235,8 +235,10 @@
     }
 
     private static String reportDifference(LocalStack stack, List<OpenLoad.Answered> all) {
-        List<Seen> seen =
-                all.stream().map(each -> Seen.of(each.arrival().request(), each.seen())).toList();
+        List<ObservedRequest> seen =
+                all.stream()
+                        .map(each -> ObservedRequest.of(each.arrival().request(), each.seen()))
+                        .toList();
         List<String> differences = ReportCheck.differences(stack, seen);
         return differences.isEmpty()
                 ? "same"
@@ -245,7 +247,7 @@
 
     private static int overcommits(LocalStack stack) {
         return stack.engines().values().stream()
-                .mapToInt(engine -> engine.ask("/control/state").get("overcommits").asInt())
+                .mapToInt(engine -> engine.getControl("/control/state").get("overcommits").asInt())
                 .sum();
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/load/Scenario.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Scenario.java
@@ -41,15 +41,15 @@
 
     private static void lose(LocalStack stack) {
         stack.target("engine-0").program().kill();
-        stack.standIn("engine-0").tell("/control/freeze", "{\"on\":true}");
+        stack.standIn("engine-0").putControl("/control/freeze", "{\"on\":true}");
     }
 
     private static void outage(LocalStack stack, boolean on) {
-        stack.log().tell("/control/outage", "{\"on\":" + on + "}");
+        stack.log().putControl("/control/outage", "{\"on\":" + on + "}");
     }
 
     private static void lag(LocalStack stack, Speed speed) {
         String body = "{\"millis\":" + speed.compressed(LAG_MILLIS) + "}";
-        stack.engines().values().forEach(engine -> engine.tell("/control/load-lag", body));
+        stack.engines().values().forEach(engine -> engine.putControl("/control/load-lag", body));
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/local/LocalRun.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/local/LocalRun.java
@@ -14,8 +14,8 @@
 import org.tamaracktrack.bench.caller.Observation;
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.ServiceRequest;
+import org.tamaracktrack.bench.report.ObservedRequest;
 import org.tamaracktrack.bench.report.ReportCheck;
-import org.tamaracktrack.bench.report.Seen;
 import org.tamaracktrack.bench.stack.CommandResult;
 import org.tamaracktrack.bench.stack.LocalStack;
 import org.tamaracktrack.bench.stack.SampleAccounts;
@@ -28,7 +28,7 @@
     private final Path root;
     private final PrintStream out;
     private final Caller caller = Caller.of();
-    private final List<Seen> sent = new ArrayList<>();
+    private final List<ObservedRequest> observedRequests = new ArrayList<>();
 
     private LocalRun(Path root, PrintStream out) {
         this.root = root;
@@ -60,10 +60,10 @@
         try (LocalStack stack = LocalStack.start(StackPlan.sample(root, root.resolve(".local")))) {
             printAddresses(stack);
             if (!once) {
-                stay();
+                waitForInterrupt();
                 return 0;
             }
-            boolean answered = tryEverything(stack);
+            boolean answered = sendAllRequests(stack);
             boolean reported = printReports(stack);
             boolean graceful = stop(stack);
             boolean fitted = checkMemory(stack);
@@ -88,7 +88,7 @@
         out.println();
     }
 
-    private void stay() {
+    private void waitForInterrupt() {
         out.println("Running until interrupted (Ctrl-C).");
         try {
             new CountDownLatch(1).await();
@@ -97,22 +97,24 @@
         }
     }
 
-    private boolean tryEverything(LocalStack stack) {
+    private boolean sendAllRequests(LocalStack stack) {
         List<Boolean> good = new ArrayList<>();
         stack.entries()
                 .forEach(
                         entry -> {
                             String address = entry.httpAddress();
                             String prompt = "Request through " + entry.program().name();
-                            requests(prompt).forEach(r -> good.add(tryModel(address, r)));
-                            calls(prompt).forEach(call -> good.add(tryService(address, call)));
+                            modelRequests(prompt)
+                                    .forEach(r -> good.add(sendModelRequest(address, r)));
+                            serviceRequests(prompt)
+                                    .forEach(call -> good.add(sendServiceRequest(address, call)));
                         });
         return good.stream().allMatch(Boolean::booleanValue);
     }
 
-    private static List<ModelRequest> requests(String prompt) {
-        List<ModelRequest> requests = new ArrayList<>(SampleAccounts.toEveryModel(prompt));
-        SampleAccounts.toEveryModel(prompt + ", streamed").stream()
+    private static List<ModelRequest> modelRequests(String prompt) {
+        List<ModelRequest> requests = new ArrayList<>(SampleAccounts.requestsToEveryModel(prompt));
+        SampleAccounts.requestsToEveryModel(prompt + ", streamed").stream()
                 .map(request -> request.streamed(STREAMED_TOKENS))
                 .forEach(requests::add);
         requests.add(
@@ -120,30 +122,31 @@
                         .withAdapter("quito-north"));
         requests.add(
                 ModelRequest.of(SampleAccounts.CEVALLOS, "note-writer", prompt + ", once")
-                        .once(Optional.of("key of " + prompt)));
+                        .nonIdempotent(Optional.of("key of " + prompt)));
         return requests;
     }
 
-    private static List<ServiceRequest> calls(String prompt) {
+    private static List<ServiceRequest> serviceRequests(String prompt) {
         CallerKey caller = SampleAccounts.KTIMATOLOGOS;
         return List.of(
-                SampleAccounts.toService(caller, "GET", "", Optional.empty()),
-                SampleAccounts.toService(caller, "POST", prompt, Optional.empty()),
-                SampleAccounts.toService(caller, "POST", prompt, Optional.of("key of " + prompt)));
+                SampleAccounts.serviceRequest(caller, "GET", "", Optional.empty()),
+                SampleAccounts.serviceRequest(caller, "POST", prompt, Optional.empty()),
+                SampleAccounts.serviceRequest(
+                        caller, "POST", prompt, Optional.of("key of " + prompt)));
     }
 
-    private boolean tryModel(String address, ModelRequest request) {
+    private boolean sendModelRequest(String address, ModelRequest request) {
         Observation seen = caller.send(address, request).join();
         String adapter = request.adapter().map(name -> "+" + name).orElse("");
         print(request.caller(), request.model() + adapter, seen);
-        sent.add(Seen.of(request, seen));
+        observedRequests.add(ObservedRequest.of(request, seen));
         return seen.outcome() == Outcome.WHOLE;
     }
 
-    private boolean tryService(String address, ServiceRequest request) {
+    private boolean sendServiceRequest(String address, ServiceRequest request) {
         Observation seen = caller.send(address, request).join();
         print(request.caller(), request.method() + " " + request.service(), seen);
-        sent.add(Seen.of(request, SampleAccounts.DEFAULT_CLASS, seen));
+        observedRequests.add(ObservedRequest.of(request, SampleAccounts.DEFAULT_CLASS, seen));
         return seen.outcome() == Outcome.WHOLE;
     }
 
@@ -174,7 +177,7 @@
     }
 
     private boolean checkReport(LocalStack stack) {
-        List<String> differences = ReportCheck.differences(stack, sent);
+        List<String> differences = ReportCheck.differences(stack, observedRequests);
         out.println("Report against what callers saw: " + differences.size() + " differences");
         differences.forEach(out::println);
         return differences.isEmpty();
@@ -183,7 +186,11 @@
     private boolean checkMemory(LocalStack stack) {
         int overcommits =
                 stack.engines().values().stream()
-                        .mapToInt(engine -> engine.ask("/control/state").get("overcommits").asInt())
+                        .mapToInt(
+                                engine ->
+                                        engine.getControl("/control/state")
+                                                .get("overcommits")
+                                                .asInt())
                         .sum();
         out.println("Orders that overcommitted memory: " + overcommits);
         return overcommits == 0;
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/Footprints.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/Footprints.java
@@ -60,7 +60,7 @@
     }
 
     private static ModelRequest request(int number) {
-        List<ModelRequest> models = SampleAccounts.toEveryModel("load " + number);
+        List<ModelRequest> models = SampleAccounts.requestsToEveryModel("load " + number);
         return models.get(number % models.size());
     }
 
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/PathCost.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/PathCost.java
@@ -62,7 +62,10 @@
         return stack.engines().values().stream()
                 .filter(
                         engine ->
-                                engine.ask("/control/state").findValuesAsText("model").stream()
+                                engine
+                                        .getControl("/control/state")
+                                        .findValuesAsText("model")
+                                        .stream()
                                         .anyMatch(model::equals))
                 .findFirst()
                 .orElseThrow(() -> StackException.of("no engine has " + model))
@@ -128,7 +131,7 @@
     }
 
     private ServiceRequest service(Optional<String> key) {
-        return SampleAccounts.toService(SampleAccounts.CEVALLOS, "POST", prompt(), key);
+        return SampleAccounts.serviceRequest(SampleAccounts.CEVALLOS, "POST", prompt(), key);
     }
 
     private CompletableFuture<Observation> call(String address) {
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/Recoveries.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/Recoveries.java
@@ -20,9 +20,9 @@
 import org.tamaracktrack.bench.stack.LocalStack;
 import org.tamaracktrack.bench.stack.RunningProgram;
 import org.tamaracktrack.bench.stack.SampleAccounts;
+import org.tamaracktrack.bench.stack.SimpleHttpClient;
 import org.tamaracktrack.bench.stack.StackException;
 import org.tamaracktrack.bench.stack.Waiting;
-import org.tamaracktrack.bench.stack.Web;
 
 /** How long the system takes to be whole again. */
 public final class Recoveries {
@@ -82,7 +82,7 @@
     }
 
     private void heal() {
-        stack.log().tell("/control/outage", "{\"on\":false}");
+        stack.log().putControl("/control/outage", "{\"on\":false}");
         stack.targets()
                 .forEach(
                         (name, daemon) -> {
@@ -91,7 +91,8 @@
                             }
                         });
         stack.awaitReady();
-        SampleAccounts.toEveryModel("heal").forEach(request -> awaitAnswer(request.model()));
+        SampleAccounts.requestsToEveryModel("heal")
+                .forEach(request -> awaitAnswer(request.model()));
     }
 
     private static double since(long start) {
@@ -106,7 +107,7 @@
         prompts++;
         String prompt = "recovery " + prompts;
         ModelRequest request =
-                SampleAccounts.toEveryModel(prompt).stream()
+                SampleAccounts.requestsToEveryModel(prompt).stream()
                         .filter(candidate -> candidate.model().equals(model))
                         .findFirst()
                         .orElseThrow();
@@ -127,10 +128,10 @@
     private double publishInOutage() {
         stack.entries().forEach(entry -> entry.program().pause());
         String model = publishNewModel();
-        stack.log().tell("/control/outage", "{\"on\":true}");
+        stack.log().putControl("/control/outage", "{\"on\":true}");
         stack.entries().forEach(entry -> entry.program().resume());
         Waiting.until("entry is up", LIMIT, () -> stack.entry(0).ready());
-        stack.log().tell("/control/outage", "{\"on\":false}");
+        stack.log().putControl("/control/outage", "{\"on\":false}");
         long start = System.nanoTime();
         awaitInForce(model);
         return since(start);
@@ -170,7 +171,7 @@
                                         model + " is listed",
                                         LIMIT,
                                         () ->
-                                                Web.get(
+                                                SimpleHttpClient.get(
                                                                 entry.httpAddress(),
                                                                 "/v1/models",
                                                                 SampleAccounts.CEVALLOS.key())
@@ -179,7 +180,7 @@
     }
 
     private double newcomer() {
-        stack.log().tell("/control/outage", "{\"on\":true}");
+        stack.log().putControl("/control/outage", "{\"on\":true}");
         stack.entry(0).program().kill();
         long start = System.nanoTime();
         DaemonProcess entry = stack.restartEntry(0);
@@ -218,10 +219,10 @@
     }
 
     private List<String> modelsAt(String target) {
-        return stack.standIn(target).ask("/control/state").findValuesAsText("model").stream()
+        return stack.standIn(target).getControl("/control/state").findValuesAsText("model").stream()
                 .filter(
                         model ->
-                                SampleAccounts.toEveryModel("").stream()
+                                SampleAccounts.requestsToEveryModel("").stream()
                                         .anyMatch(known -> known.model().equals(model)))
                 .collect(Collectors.toList());
     }
@@ -233,10 +234,10 @@
                         CALLERS_EACH,
                         number -> {
                             List<ModelRequest> all =
-                                    SampleAccounts.toEveryModel("leaving " + number);
+                                    SampleAccounts.requestsToEveryModel("leaving " + number);
                             return all.get(number % all.size());
                         });
-        load.await(50, exchange -> exchange.seen().outcome() == Outcome.WHOLE);
+        load.await(50, exchange -> exchange.observation().outcome() == Outcome.WHOLE);
         RunningProgram daemon = stack.target("engine-2").program();
         long start = System.nanoTime();
         daemon.terminate();
@@ -251,7 +252,7 @@
         out.printf("target leaving: daemon ended %.0f ms after SIGTERM%n", since(start));
         Map<String, Long> notWhole =
                 load.stop().stream()
-                        .map(SteadyLoad.Exchange::seen)
+                        .map(SteadyLoad.Exchange::observation)
                         .filter(seen -> seen.outcome() != Outcome.WHOLE)
                         .collect(
                                 Collectors.groupingBy(
@@ -262,6 +263,6 @@
     }
 
     private int runsAt(String target) {
-        return stack.standIn(target).ask("/control/runs").get("runs").size();
+        return stack.standIn(target).getControl("/control/runs").get("runs").size();
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/package-info.java
@@ -1,2 +1,5 @@
-/** The bench's entry point: one command for each way to run or measure the system. */
+/**
+ * Contains the main class of the bench, with one subcommand for each way to run or measure the
+ * system.
+ */
 package org.tamaracktrack.bench;
--- a/bench/src/main/java/org/tamaracktrack/bench/report/Counts.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/report/Counts.java
@@ -21,7 +21,7 @@
                 answerTokens + more.answerTokens);
     }
 
-    static Counts of(Seen seen) {
+    static Counts of(ObservedRequest seen) {
         return switch (seen.outcome()) {
             case WHOLE -> new Counts(1, 1, 0, 0, seen.answerTokens());
             case NOT_RUN -> new Counts(1, 0, 1, 0, 0);
--- a/bench/src/main/java/org/tamaracktrack/bench/report/Seen.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/report/ObservedRequest.java
@@ -13,10 +13,10 @@
  * @param outcome what the caller got
  * @param answerTokens tokens of its answer, 0 without a whole one
  */
-public record Seen(Row row, Outcome outcome, int answerTokens) {
+public record ObservedRequest(Row row, Outcome outcome, int answerTokens) {
 
     /** Checks the arguments. */
-    public Seen {
+    public ObservedRequest {
         Objects.requireNonNull(row, "row is null");
         Objects.requireNonNull(outcome, "outcome is null");
     }
@@ -37,10 +37,10 @@
      * @param seen what the caller saw
      * @return the request as its caller knows it
      */
-    public static Seen of(ModelRequest request, Observation seen) {
+    public static ObservedRequest of(ModelRequest request, Observation seen) {
         Row row = new Row(request.caller().account(), request.model(), request.requestClass());
         boolean whole = seen.outcome() == Outcome.WHOLE;
-        return new Seen(row, seen.outcome(), whole ? request.tokens() : 0);
+        return new ObservedRequest(row, seen.outcome(), whole ? request.tokens() : 0);
     }
 
     /**
@@ -51,8 +51,9 @@
      * @param seen what the caller saw
      * @return the call as its caller knows it
      */
-    public static Seen of(ServiceRequest request, String requestClass, Observation seen) {
+    public static ObservedRequest of(
+            ServiceRequest request, String requestClass, Observation seen) {
         Row row = new Row(request.caller().account(), request.service(), requestClass);
-        return new Seen(row, seen.outcome(), 0);
+        return new ObservedRequest(row, seen.outcome(), 0);
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/report/ReportCheck.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/report/ReportCheck.java
@@ -26,14 +26,17 @@
      * @param seen every request that was sent to it
      * @return the rows that differ, in words; empty when the report is true
      */
-    public static List<String> differences(LocalStack stack, Collection<Seen> seen) {
-        return differences(seen, told(rows(stack, "report")));
+    public static List<String> differences(LocalStack stack, Collection<ObservedRequest> seen) {
+        return differences(seen, reportedCounts(rows(stack, "report")));
     }
 
-    static List<String> differences(Collection<Seen> seen, Map<Seen.Row, Counts> told) {
-        Map<Seen.Row, Counts> expected =
-                seen.stream().collect(Collectors.toMap(Seen::row, Counts::of, Counts::plus));
-        Map<Seen.Row, String> differences = new TreeMap<>(Comparator.comparing(Seen.Row::toString));
+    static List<String> differences(
+            Collection<ObservedRequest> seen, Map<ObservedRequest.Row, Counts> told) {
+        Map<ObservedRequest.Row, Counts> expected =
+                seen.stream()
+                        .collect(Collectors.toMap(ObservedRequest::row, Counts::of, Counts::plus));
+        Map<ObservedRequest.Row, String> differences =
+                new TreeMap<>(Comparator.comparing(ObservedRequest.Row::toString));
         expected.forEach(
                 (row, counts) -> {
                     Counts reported = told.getOrDefault(row, Counts.NONE);
@@ -67,12 +70,12 @@
                                 TreeMap::new));
     }
 
-    private static Map<Seen.Row, Counts> told(List<JsonNode> rows) {
+    private static Map<ObservedRequest.Row, Counts> reportedCounts(List<JsonNode> rows) {
         return rows.stream()
                 .collect(
                         Collectors.toMap(
                                 row ->
-                                        new Seen.Row(
+                                        new ObservedRequest.Row(
                                                 row.get("account").asText(),
                                                 row.get("model").asText(),
                                                 row.get("class").asText()),
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/CommandResult.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/CommandResult.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * What a run of the operators' tool gave.
+ * Result of one run of the operators' command-line tool.
  *
  * @param status its exit status
- * @param output what it printed, errors included
+ * @param output its standard output and standard error, merged
  */
 public record CommandResult(int status, String output) {
 
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/DaemonProcess.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/DaemonProcess.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** A daemon as a process. */
+/** A daemon that runs as a separate process. */
 public final class DaemonProcess {
     private static final String MAIN = "org.tamaracktrack.daemon.Main";
     private static final int HEAP_MEBIBYTES = 64;
-    private static final Duration START_LIMIT = Duration.ofSeconds(30);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
 
     private final RunningProgram program;
 
@@ -18,12 +18,12 @@
     }
 
     /**
-     * Starts a daemon; it may not be ready yet.
+     * Starts a daemon without waiting until it is ready.
      *
-     * @param name its name
-     * @param flags its flags
-     * @param directory where its output goes
-     * @return the daemon
+     * @param name the name of the process
+     * @param flags the command-line flags of the daemon
+     * @param directory the directory for its output file
+     * @return the started daemon
      */
     public static DaemonProcess start(String name, List<String> flags, Path directory) {
         return new DaemonProcess(
@@ -31,39 +31,40 @@
                         new JavaProgram(name, MAIN, HEAP_MEBIBYTES, flags), directory));
     }
 
-    private Map<String, String> started() {
-        return program.awaitReady(START_LIMIT);
+    private Map<String, String> readyFields() {
+        return program.awaitReady(START_TIMEOUT);
     }
 
     /**
-     * Returns where it serves HTTP.
+     * Returns the address of its HTTP interface. Waits until the daemon has printed its ready line.
      *
-     * @return IP number and port
+     * @return IP address and port
      */
     public String httpAddress() {
-        return started().get("http");
+        return readyFields().get("http");
     }
 
     /**
-     * Returns where other daemons reach it.
+     * Returns the address for connections of other daemons. Waits until the daemon has printed its
+     * ready line.
      *
-     * @return IP number and port
+     * @return IP address and port
      */
     public String peerAddress() {
-        return started().get("peer");
+        return readyFields().get("peer");
     }
 
     /**
-     * Returns whether it says that it takes new work.
+     * Returns whether its readiness endpoint reports that it accepts new requests.
      *
      * @return whether it is ready
      */
     public boolean ready() {
-        return Web.get(httpAddress(), "/readyz").isPresent();
+        return SimpleHttpClient.get(httpAddress(), "/readyz").isPresent();
     }
 
     /**
-     * Returns its process.
+     * Returns the underlying process.
      *
      * @return the process
      */
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/JavaProgram.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/JavaProgram.java
@@ -6,12 +6,13 @@
 import java.util.stream.Stream;
 
 /**
- * A program of this project, to be run on the class path of the running one.
+ * Description of a Java program of this project. It runs with the class path of the current
+ * process.
  *
- * @param name the name of its process, used for its output file
+ * @param name the name of the process, also used for its output file
  * @param mainClass its main class
- * @param heapMebibytes its heap
- * @param arguments its command line
+ * @param heapMebibytes its maximum heap size in mebibytes
+ * @param arguments the arguments of its main method
  */
 public record JavaProgram(
         String name, String mainClass, int heapMebibytes, List<String> arguments) {
@@ -24,9 +25,9 @@
     }
 
     /**
-     * Returns the command that runs it.
+     * Returns the command line that starts the program.
      *
-     * @return program and arguments
+     * @return path of the Java launcher and its arguments
      */
     public List<String> command() {
         Stream<String> java =
@@ -43,7 +44,9 @@
         return Stream.concat(java, arguments.stream()).toList();
     }
 
-    // Surefire runs tests from a jar that only names the class path, which a child can't use.
+    // Surefire starts tests from a jar whose manifest refers to the class path; child processes
+    // need
+    // the expanded class path.
     private static String classPath() {
         return System.getProperty(
                 "surefire.test.class.path", System.getProperty("java.class.path"));
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/LocalStack.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/LocalStack.java
@@ -12,39 +12,44 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** The whole system on loopback: stand-ins, target daemons and entry daemons, each a process. */
+/**
+ * The whole system on the loopback interface: stand-ins, target daemons and entry daemons, each a
+ * separate process.
+ */
 public final class LocalStack implements AutoCloseable {
     private static final String COMMAND_MAIN = "org.tamaracktrack.cli.Main";
     private static final String ANY_PORT = "127.0.0.1:0";
     private static final String SHARED_SECRET = "local-stack-secret";
     private static final int COMMAND_HEAP_MEBIBYTES = 64;
-    private static final Duration READY_LIMIT = Duration.ofSeconds(40);
-    private static final Duration COMMAND_LIMIT = Duration.ofSeconds(30);
-    private static final Duration STOP_LIMIT = Duration.ofSeconds(40);
+    private static final Duration READY_TIMEOUT = Duration.ofSeconds(40);
+    private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(40);
 
     private final StackPlan plan;
-    private final ConcurrentLinkedQueue<RunningProgram> started = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<RunningProgram> startedPrograms =
+            new ConcurrentLinkedQueue<>();
     private final Map<String, StandInProcess> standIns = new LinkedHashMap<>();
     private final Map<String, DaemonProcess> targets = new LinkedHashMap<>();
     private final List<DaemonProcess> entries = new ArrayList<>();
-    private final AtomicInteger commands = new AtomicInteger();
-    private final Thread hook = new Thread(this::killAll, "kill-children");
+    private final AtomicInteger commandCount = new AtomicInteger();
+    private final Thread shutdownHook = new Thread(this::killAll, "kill-children");
 
     private LocalStack(StackPlan plan) {
         this.plan = plan;
     }
 
     /**
-     * Starts everything, publishes the configuration and waits until every daemon is ready.
+     * Starts all processes, publishes the configuration and waits until every daemon is ready.
      *
-     * @param plan what to start
+     * @param plan the processes to start
      * @return the running system
-     * @throws StackException when something does not start
+     * @throws StackException when a process does not start or become ready, or the configuration
+     *     can't be published
      */
     public static LocalStack start(StackPlan plan) {
         Objects.requireNonNull(plan, "plan is null");
         LocalStack stack = new LocalStack(plan);
-        Runtime.getRuntime().addShutdownHook(stack.hook);
+        Runtime.getRuntime().addShutdownHook(stack.shutdownHook);
         try {
             stack.startStandIns();
             stack.startDaemons();
@@ -64,22 +69,27 @@
         String weights = weights().address();
         plan.targets().stream()
                 .collect(Collectors.groupingBy(TargetPlan::process, Collectors.toList()))
-                .forEach((process, targetsOfIt) -> startTargets(process, targetsOfIt, weights));
+                .forEach(
+                        (process, processTargets) ->
+                                startTargets(process, processTargets, weights));
         standIns.values().forEach(StandInProcess::address);
     }
 
-    private void startTargets(String process, List<TargetPlan> targetsOfIt, String weights) {
-        TargetPlan first = targetsOfIt.get(0);
+    private void startTargets(String process, List<TargetPlan> processTargets, String weights) {
+        TargetPlan first = processTargets.get(0);
         List<String> flags = new ArrayList<>(first.flags());
-        flags.addAll(List.of("--count", Integer.toString(targetsOfIt.size())));
+        flags.addAll(List.of("--count", Integer.toString(processTargets.size())));
         if (first.kind().equals("engine")) {
             flags.addAll(List.of("--weights", weights));
         }
         StandInProcess standIn =
                 StandInProcess.start(process, first.kind(), flags, plan.directory());
-        started.add(standIn.program());
-        IntStream.range(0, targetsOfIt.size())
-                .forEach(index -> standIns.put(targetsOfIt.get(index).name(), standIn.at(index)));
+        startedPrograms.add(standIn.program());
+        IntStream.range(0, processTargets.size())
+                .forEach(
+                        index ->
+                                standIns.put(
+                                        processTargets.get(index).name(), standIn.atIndex(index)));
     }
 
     private List<String> hostFlags() {
@@ -104,7 +114,7 @@
 
     private void startStandIn(String name, String kind, List<String> flags) {
         StandInProcess standIn = StandInProcess.start(name, kind, flags, plan.directory());
-        started.add(standIn.program());
+        startedPrograms.add(standIn.program());
         standIns.put(name, standIn);
     }
 
@@ -156,22 +166,23 @@
 
     private DaemonProcess startDaemon(String name, List<String> flags) {
         DaemonProcess daemon = DaemonProcess.start(name, flags, plan.directory());
-        started.add(daemon.program());
+        startedPrograms.add(daemon.program());
         return daemon;
     }
 
     private void publish() {
         CommandResult result = command(publishArguments(plan.document().toString()));
         if (result.status() != 0) {
-            throw StackException.of("publishing failed: " + result.output());
+            throw StackException.of("publishing the configuration failed: " + result.output());
         }
     }
 
     /**
-     * Returns the arguments that publish a configuration for this system's addresses.
+     * Returns the arguments that publish a configuration with this system's target addresses as
+     * parameters.
      *
-     * @param document the file
-     * @return the arguments of the operators' tool
+     * @param document path of the configuration file
+     * @return the arguments of the operators' command-line tool
      */
     public String[] publishArguments(String document) {
         Stream<String> parameters =
@@ -186,7 +197,11 @@
         return Stream.concat(Stream.of("publish", document), parameters).toArray(String[]::new);
     }
 
-    /** Waits until every daemon that is there takes new work. */
+    /**
+     * Waits until every running daemon accepts new requests.
+     *
+     * @throws StackException when a daemon is not ready in time
+     */
     public void awaitReady() {
         Stream.concat(entries.stream(), targets.values().stream())
                 .filter(daemon -> daemon.program().alive())
@@ -194,28 +209,28 @@
                         daemon ->
                                 Waiting.until(
                                         daemon.program().name() + " is ready",
-                                        READY_LIMIT,
+                                        READY_TIMEOUT,
                                         daemon::ready));
     }
 
     /**
-     * Runs the operators' tool against this system's log.
+     * Runs the operators' command-line tool against this system's log and waits until it ends.
      *
-     * @param arguments its command and arguments
-     * @return what it gave
+     * @param arguments the subcommand and its arguments
+     * @return its exit status and output
      */
     public CommandResult command(String... arguments) {
-        List<String> all = new ArrayList<>(List.of(arguments));
-        all.addAll(List.of("--log-address", log().address()));
+        List<String> fullArguments = new ArrayList<>(List.of(arguments));
+        fullArguments.addAll(List.of("--log-address", log().address()));
         JavaProgram program =
                 new JavaProgram(
-                        "command-" + commands.incrementAndGet(),
+                        "command-" + commandCount.incrementAndGet(),
                         COMMAND_MAIN,
                         COMMAND_HEAP_MEBIBYTES,
-                        all);
+                        fullArguments);
         RunningProgram running = RunningProgram.start(program, plan.directory());
-        started.add(running);
-        int status = running.awaitExit(COMMAND_LIMIT);
+        startedPrograms.add(running);
+        int status = running.awaitExit(COMMAND_TIMEOUT);
         return new CommandResult(status, running.wholeOutput());
     }
 
@@ -245,11 +260,11 @@
      * @return the daemon
      */
     public DaemonProcess target(String target) {
-        return Objects.requireNonNull(targets.get(target), "no such target");
+        return Objects.requireNonNull(targets.get(target), "no target of this name");
     }
 
     /**
-     * Returns the target daemons by target.
+     * Returns the target daemons by target name.
      *
      * @return the daemons
      */
@@ -258,10 +273,10 @@
     }
 
     /**
-     * Starts an entry daemon again, as a new process.
+     * Starts a new process in place of an entry daemon, without waiting until it is ready.
      *
      * @param index its index, from 0
-     * @return the daemon; it may not be ready yet
+     * @return the new daemon
      */
     public DaemonProcess restartEntry(int index) {
         entries.set(index, startEntry(index));
@@ -269,23 +284,26 @@
     }
 
     /**
-     * Starts a target daemon again, as a new process.
+     * Starts a new process in place of a target daemon, without waiting until it is ready.
      *
      * @param name the target's name
-     * @return the daemon; it may not be ready yet
+     * @return the new daemon
      */
     public DaemonProcess restartTarget(String name) {
         TargetPlan target =
                 plan.targets().stream()
                         .filter(candidate -> candidate.name().equals(name))
                         .findFirst()
-                        .orElseThrow(() -> StackException.of("no such target: " + name));
+                        .orElseThrow(
+                                () ->
+                                        StackException.of(
+                                                "no target of this name in the plan: " + name));
         targets.put(name, startTarget(target));
         return targets.get(name);
     }
 
     /**
-     * Returns the log.
+     * Returns the stand-in of the shared log.
      *
      * @return the stand-in
      */
@@ -294,7 +312,7 @@
     }
 
     /**
-     * Returns the host list.
+     * Returns the stand-in of the host list.
      *
      * @return the stand-in
      */
@@ -303,7 +321,7 @@
     }
 
     /**
-     * Returns the weight store.
+     * Returns the stand-in of the weight store.
      *
      * @return the stand-in
      */
@@ -312,43 +330,43 @@
     }
 
     /**
-     * Returns the engine or service of a target.
+     * Returns the stand-in engine or service of a target.
      *
-     * @param target the target's name
+     * @param target the target's name, or {@code log}, {@code hosts} or {@code weights}
      * @return the stand-in
      */
     public StandInProcess standIn(String target) {
-        return Objects.requireNonNull(standIns.get(target), "no such stand-in");
+        return Objects.requireNonNull(standIns.get(target), "no stand-in of this name");
     }
 
     /**
-     * Returns the engines by target.
+     * Returns the stand-in engines by target name.
      *
      * @return the stand-ins
      */
     public Map<String, StandInProcess> engines() {
-        return ofKind("engine");
+        return standInsOfKind("engine");
     }
 
     /**
-     * Returns the plain services by target.
+     * Returns the stand-in plain services by target name.
      *
      * @return the stand-ins
      */
     public Map<String, StandInProcess> services() {
-        return ofKind("service");
+        return standInsOfKind("service");
     }
 
-    private Map<String, StandInProcess> ofKind(String kind) {
+    private Map<String, StandInProcess> standInsOfKind(String kind) {
         return plan.targets().stream()
                 .filter(target -> target.kind().equals(kind))
                 .collect(Collectors.toMap(TargetPlan::name, target -> standIn(target.name())));
     }
 
     /**
-     * Stops the daemons with SIGTERM, entry daemons first.
+     * Stops the running daemons with SIGTERM and waits until they have ended, entry daemons first.
      *
-     * @return the exit status of each daemon by name
+     * @return the exit statuses by process name
      */
     public Map<String, Integer> stopDaemons() {
         Map<String, Integer> statuses = new LinkedHashMap<>();
@@ -362,22 +380,22 @@
                 daemons.stream().map(DaemonProcess::program).filter(RunningProgram::alive).toList();
         programs.forEach(RunningProgram::terminate);
         Map<String, Integer> statuses = new LinkedHashMap<>();
-        programs.forEach(program -> statuses.put(program.name(), program.awaitExit(STOP_LIMIT)));
+        programs.forEach(program -> statuses.put(program.name(), program.awaitExit(STOP_TIMEOUT)));
         return statuses;
     }
 
     private void killAll() {
-        started.stream().filter(RunningProgram::alive).forEach(RunningProgram::kill);
+        startedPrograms.stream().filter(RunningProgram::alive).forEach(RunningProgram::kill);
     }
 
-    /** Ends every process that this system started and that is still there. */
+    /** Kills every process of this system that is still running. */
     @Override
     public void close() {
         killAll();
         try {
-            Runtime.getRuntime().removeShutdownHook(hook);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException shuttingDown) {
-            // The hook runs already, and does the same.
+            // The JVM is shutting down, and the hook kills the processes.
         }
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/RunningProgram.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/RunningProgram.java
@@ -17,30 +17,30 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** A process that this one started. Its output goes to a file. */
+/** A child process whose output is written to a file. */
 public final class RunningProgram {
-    private static final String READY = "ready ";
+    private static final String READY_PREFIX = "ready ";
 
     private final String name;
     private final Process process;
     private final Path output;
-    private final Thread reader;
-    private final CompletableFuture<Map<String, String>> ready = new CompletableFuture<>();
+    private final Thread outputReader;
+    private final CompletableFuture<Map<String, String>> readyFields = new CompletableFuture<>();
 
     private RunningProgram(String name, Process process, Path output) {
         this.name = name;
         this.process = process;
         this.output = output;
-        this.reader = new Thread(this::readOutput, "output-" + name);
+        this.outputReader = new Thread(this::readOutput, "output-" + name);
     }
 
     /**
-     * Starts a program.
+     * Starts a program and copies its standard output and standard error to a file.
      *
-     * @param program what to run
-     * @param directory where its output goes
+     * @param program the program to run
+     * @param directory the directory for the output file, created if absent
      * @return the process
-     * @throws StackException when it can't be started
+     * @throws StackException when the process can't be started
      */
     public static RunningProgram start(JavaProgram program, Path directory) {
         Objects.requireNonNull(program, "program is null");
@@ -50,28 +50,29 @@
                     new ProcessBuilder(program.command()).redirectErrorStream(true).start();
             Path output = directory.resolve(program.name() + "-" + process.pid() + ".log");
             RunningProgram running = new RunningProgram(program.name(), process, output);
-            running.reader.setDaemon(true);
-            running.reader.start();
+            running.outputReader.setDaemon(true);
+            running.outputReader.start();
             return running;
         } catch (IOException failure) {
-            throw StackException.of("can't start " + program.name(), failure);
+            throw StackException.of("can't start process " + program.name(), failure);
         }
     }
 
     private void readOutput() {
         try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8);
                 PrintWriter writer = new PrintWriter(Files.newBufferedWriter(output), true)) {
-            lines.lines().forEach(line -> note(line, writer));
+            lines.lines().forEach(line -> handleLine(line, writer));
         } catch (IOException | UncheckedIOException closed) {
-            // The process has ended; that is told below.
+            // The process has ended; the future is completed below.
         }
-        ready.completeExceptionally(StackException.of(name + " ended early; see " + output));
+        readyFields.completeExceptionally(
+                StackException.of(name + " ended before it was ready; see " + output));
     }
 
-    private void note(String line, PrintWriter writer) {
+    private void handleLine(String line, PrintWriter writer) {
         writer.println(line);
-        if (line.startsWith(READY)) {
-            ready.complete(fields(line.substring(READY.length())));
+        if (line.startsWith(READY_PREFIX)) {
+            readyFields.complete(fields(line.substring(READY_PREFIX.length())));
         }
     }
 
@@ -83,15 +84,15 @@
     }
 
     /**
-     * Waits until the program says that it is ready.
+     * Waits until the program has printed its ready line.
      *
-     * @param limit how long to wait
-     * @return the fields of its ready line
-     * @throws StackException when it ends first, or says nothing in time
+     * @param timeout the maximum time to wait
+     * @return the fields of the ready line by name
+     * @throws StackException when the program ends first or is not ready in time
      */
-    public Map<String, String> awaitReady(Duration limit) {
+    public Map<String, String> awaitReady(Duration timeout) {
         try {
-            return ready.get(limit.toMillis(), TimeUnit.MILLISECONDS);
+            return readyFields.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException failure) {
             throw StackException.of(name + " did not become ready; see " + output, failure);
         } catch (InterruptedException interrupted) {
@@ -103,14 +104,14 @@
     /**
      * Waits until the process has ended.
      *
-     * @param limit how long to wait
+     * @param timeout the maximum time to wait
      * @return its exit status
-     * @throws StackException when it goes on
+     * @throws StackException when the process does not end in time
      */
-    public int awaitExit(Duration limit) {
+    public int awaitExit(Duration timeout) {
         try {
-            if (!process.waitFor(limit.toMillis(), TimeUnit.MILLISECONDS)) {
-                throw StackException.of(name + " did not end in " + limit + "; see " + output);
+            if (!process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS)) {
+                throw StackException.of(name + " did not end in " + timeout + "; see " + output);
             }
             return process.exitValue();
         } catch (InterruptedException interrupted) {
@@ -124,44 +125,44 @@
         process.destroy();
     }
 
-    /** Sends SIGKILL and waits for the end. */
+    /** Sends SIGKILL and waits until the process has ended. */
     public void kill() {
         process.destroyForcibly();
         process.onExit().join();
     }
 
-    /** Sends SIGSTOP: the process stands still and its connections stay open. */
+    /** Sends SIGSTOP, which suspends the process and leaves its connections open. */
     public void pause() {
-        signal("-STOP");
+        sendSignal("-STOP");
     }
 
-    /** Sends SIGCONT. */
+    /** Sends SIGCONT, which resumes a suspended process. */
     public void resume() {
-        signal("-CONT");
+        sendSignal("-CONT");
     }
 
-    // Java has no call for these signals.
-    private void signal(String signal) {
+    // Java has no API for sending these signals.
+    private void sendSignal(String signal) {
         try {
             new ProcessBuilder("kill", signal, Long.toString(process.pid())).start().waitFor();
         } catch (IOException failure) {
-            throw StackException.of("can't signal " + name, failure);
+            throw StackException.of("can't send a signal to " + name, failure);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Returns all that the program printed. To be called after its end.
+     * Returns the complete output of the program. Waits until the process has closed its output.
      *
-     * @return its output
+     * @return its output, or an empty string when interrupted
      */
     public String wholeOutput() {
         try {
-            reader.join();
+            outputReader.join();
             return Files.readString(output);
         } catch (IOException failure) {
-            throw StackException.of("no output of " + name, failure);
+            throw StackException.of("can't read the output file of " + name, failure);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return "";
@@ -169,7 +170,7 @@
     }
 
     /**
-     * Returns whether the process is there.
+     * Returns whether the process is running.
      *
      * @return whether it has not ended
      */
@@ -178,16 +179,16 @@
     }
 
     /**
-     * Returns the process's number.
+     * Returns the process ID.
      *
-     * @return the process's number
+     * @return the process ID
      */
     public long pid() {
         return process.pid();
     }
 
     /**
-     * Returns the program's name.
+     * Returns the name of the process.
      *
      * @return the name
      */
@@ -196,7 +197,7 @@
     }
 
     /**
-     * Returns the file with the program's output.
+     * Returns the file that receives the program's output.
      *
      * @return the file
      */
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/SampleAccounts.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/SampleAccounts.java
@@ -10,19 +10,21 @@
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.ServiceRequest;
 
-/** The client accounts of the sample configuration. */
+/** Client accounts of the sample configuration, and requests that they may send. */
 public final class SampleAccounts {
-    /** The first account. */
+    /**
+     * The account that may use {@code order-reader}, {@code note-writer} and {@code terms-checker}.
+     */
     public static final CallerKey CEVALLOS = new CallerKey("cevallos", "cevallos-sample-key");
 
-    /** The second account. */
+    /** The account that may use {@code history-writer} and {@code damage-reader}. */
     public static final CallerKey KTIMATOLOGOS =
             new CallerKey("ktimatologos", "ktimatologos-sample-key");
 
-    /** The plain service that both may use. */
+    /** The plain service that both accounts may call. */
     public static final String SERVICE = "order-book";
 
-    /** The class of requests that name none. */
+    /** The request class of requests that don't specify one. */
     public static final String DEFAULT_CLASS = "interactive";
 
     private static final List<Map.Entry<CallerKey, String>> MODELS =
@@ -36,12 +38,12 @@
     private SampleAccounts() {}
 
     /**
-     * Returns a request for each model.
+     * Returns a request for each model, sent by the account that may use it.
      *
-     * @param prompt the beginning of the prompts
+     * @param prompt the common prefix of the prompts
      * @return the requests
      */
-    public static List<ModelRequest> toEveryModel(String prompt) {
+    public static List<ModelRequest> requestsToEveryModel(String prompt) {
         return MODELS.stream()
                 .map(
                         model ->
@@ -53,15 +55,15 @@
     }
 
     /**
-     * Returns a call of the plain service.
+     * Returns a request to the plain service.
      *
-     * @param caller who asks
+     * @param caller the account that sends the request
      * @param method the HTTP method
-     * @param body the body
-     * @param key the idempotency key
-     * @return the call
+     * @param body the request body
+     * @param key the idempotency key, if any
+     * @return the request
      */
-    public static ServiceRequest toService(
+    public static ServiceRequest serviceRequest(
             CallerKey caller, String method, String body, Optional<String> key) {
         return new ServiceRequest(caller, SERVICE, method, "/orders?of=" + method, body, key);
     }
@@ -70,22 +72,22 @@
      * Waits until every model answers through every entry daemon.
      *
      * @param stack the running sample system
-     * @param limit how long to wait for each
+     * @param timeout the maximum time to wait for each model at each entry daemon
      */
-    public static void awaitEveryModel(LocalStack stack, Duration limit) {
+    public static void awaitEveryModel(LocalStack stack, Duration timeout) {
         Caller caller = Caller.of();
         stack.entries().stream()
                 .map(DaemonProcess::httpAddress)
-                .forEach(address -> awaitEveryModel(caller, address, limit));
+                .forEach(address -> awaitEveryModel(caller, address, timeout));
     }
 
-    private static void awaitEveryModel(Caller caller, String address, Duration limit) {
-        toEveryModel("waiting at " + address)
+    private static void awaitEveryModel(Caller caller, String address, Duration timeout) {
+        requestsToEveryModel("waiting at " + address)
                 .forEach(
                         request ->
                                 Waiting.until(
                                         request.model() + " answers",
-                                        limit,
+                                        timeout,
                                         () -> answers(caller, address, request)));
     }
 
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/Web.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/SimpleHttpClient.java
@@ -10,36 +10,36 @@
 import java.util.Optional;
 import org.tamaracktrack.link.codec.Codecs;
 
-/** Small calls to control interfaces and to health pages. */
-public final class Web {
+/** Blocking HTTP calls to control interfaces and health endpoints, with a time-out of 5 seconds. */
+public final class SimpleHttpClient {
     private static final int OK = 200;
-    private static final Duration LIMIT = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final HttpClient CLIENT =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .connectTimeout(LIMIT)
+                    .connectTimeout(TIMEOUT)
                     .build();
 
-    private Web() {}
+    private SimpleHttpClient() {}
 
     /**
-     * Reads a page.
+     * Sends a GET request.
      *
-     * @param address IP number and port
+     * @param address IP address and port
      * @param path the path
-     * @return its text if the status is 200
+     * @return the body, or empty when the status is not 200 or the server can't be reached
      */
     public static Optional<String> get(String address, String path) {
         return get(request(address, path).build());
     }
 
     /**
-     * Reads a page that needs a key.
+     * Sends a GET request with the key of a client account.
      *
-     * @param address IP number and port
+     * @param address IP address and port
      * @param path the path
      * @param key the client account's key
-     * @return its text if the status is 200
+     * @return the body, or empty when the status is not 200 or the server can't be reached
      */
     public static Optional<String> get(String address, String path, String key) {
         return get(request(address, path).header("Authorization", "Bearer " + key).build());
@@ -55,47 +55,53 @@
     }
 
     /**
-     * Reads JSON.
+     * Sends a GET request and parses the answer as JSON.
      *
-     * @param address IP number and port
+     * @param address IP address and port
      * @param path the path
-     * @return the value
-     * @throws StackException when there is none
+     * @return the JSON value
+     * @throws StackException when there is no answer with status 200, or it is not JSON
      */
-    public static JsonNode json(String address, String path) {
+    public static JsonNode getJson(String address, String path) {
         String text =
                 get(address, path)
-                        .orElseThrow(() -> StackException.of("no answer: " + address + path));
+                        .orElseThrow(
+                                () ->
+                                        StackException.of(
+                                                "no answer with status 200 from "
+                                                        + address
+                                                        + path));
         try {
             return Codecs.json().readTree(text);
-        } catch (IOException wrong) {
-            throw StackException.of("no JSON: " + address + path, wrong);
+        } catch (IOException invalid) {
+            throw StackException.of("answer is not JSON: " + address + path, invalid);
         }
     }
 
     /**
-     * Puts JSON.
+     * Sends a PUT request with a JSON body.
      *
-     * @param address IP number and port
+     * @param address IP address and port
      * @param path the path
      * @param body the JSON text
-     * @throws StackException when it is not taken
+     * @throws StackException when the server can't be reached or the status is not 200
      */
-    public static void put(String address, String path, String body) {
+    public static void putJson(String address, String path, String body) {
         HttpRequest request =
                 request(address, path).PUT(HttpRequest.BodyPublishers.ofString(body)).build();
         try {
             int status = send(request).statusCode();
             if (status != OK) {
-                throw StackException.of("status " + status + ": " + address + path);
+                throw StackException.of(
+                        "PUT answered with status " + status + ": " + address + path);
             }
         } catch (IOException unreachable) {
-            throw StackException.of("no answer: " + address + path, unreachable);
+            throw StackException.of("PUT not answered: " + address + path, unreachable);
         }
     }
 
     private static HttpRequest.Builder request(String address, String path) {
-        return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(LIMIT);
+        return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(TIMEOUT);
     }
 
     private static HttpResponse<String> send(HttpRequest request) throws IOException {
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/StackException.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/StackException.java
@@ -1,6 +1,6 @@
 package org.tamaracktrack.bench.stack;
 
-/** A process of the bench could not be started, reached or stopped. */
+/** Thrown when a process of the local stack can't be started, reached or stopped. */
 public final class StackException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -9,9 +9,9 @@
     }
 
     /**
-     * Returns an exception.
+     * Returns an exception without a cause.
      *
-     * @param message a sentence for people
+     * @param message the detail message
      * @return the exception
      */
     public static StackException of(String message) {
@@ -21,7 +21,7 @@
     /**
      * Returns an exception with a cause.
      *
-     * @param message a sentence for people
+     * @param message the detail message
      * @param cause the cause
      * @return the exception
      */
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/StackPlan.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/StackPlan.java
@@ -6,16 +6,16 @@
 import java.util.stream.Stream;
 
 /**
- * What to start.
+ * Description of a local stack: its processes and the configuration to publish.
  *
- * @param directory where the output of the processes goes
- * @param document the configuration to publish
+ * @param directory the directory for the output files of the processes
+ * @param document path of the configuration to publish
  * @param targets the targets
  * @param entryDataCentres the data centre of each entry daemon
- * @param logFlags flags for the log
- * @param weightFlags flags for the weight store
- * @param entryFlags further flags for entry daemons
- * @param targetFlags further flags for target daemons
+ * @param logFlags flags for the stand-in of the log
+ * @param weightFlags flags for the stand-in of the weight store
+ * @param entryFlags additional flags for entry daemons
+ * @param targetFlags additional flags for target daemons
  */
 public record StackPlan(
         Path directory,
@@ -45,7 +45,7 @@
      * Returns the plan for the sample configuration: three engines and one plain service.
      *
      * @param root the directory of the project
-     * @param directory where the output of the processes goes
+     * @param directory the directory for the output files of the processes
      * @return the plan
      */
     public static StackPlan sample(Path root, Path directory) {
@@ -53,22 +53,22 @@
     }
 
     /**
-     * Returns the plan for the sample configuration with engines of another speed.
+     * Returns the plan for the sample configuration with engines of the given speed.
      *
      * @param root the directory of the project
-     * @param directory where the output of the processes goes
-     * @param tokenMillis time for one token of a batch of one
+     * @param directory the directory for the output files of the processes
+     * @param tokenMillis milliseconds for each token at batch size 1
      * @return the plan
      */
     public static StackPlan sample(Path root, Path directory, double tokenMillis) {
-        List<String> engine =
+        List<String> engineFlags =
                 List.of(
                         "--accelerator", "a0=24576",
                         "--cache-mebibytes", "4096",
                         "--concurrency", "8",
                         "--token-millis", Double.toString(tokenMillis));
-        List<String> checking =
-                Stream.concat(engine.stream(), Stream.of("--checks-fencing")).toList();
+        List<String> fencingEngineFlags =
+                Stream.concat(engineFlags.stream(), Stream.of("--checks-fencing")).toList();
         return new StackPlan(
                 directory,
                 root.resolve("docs/sample-configuration.yaml"),
@@ -80,7 +80,7 @@
                                 "engine-1",
                                 "engine",
                                 "engineOne",
-                                checking),
+                                fencingEngineFlags),
                         new TargetPlan(
                                 "engine-2",
                                 "host-2",
@@ -88,7 +88,7 @@
                                 "engine-2",
                                 "engine",
                                 "engineTwo",
-                                checking),
+                                fencingEngineFlags),
                         new TargetPlan(
                                 "engine-3",
                                 "host-3",
@@ -96,7 +96,7 @@
                                 "engine-3",
                                 "engine",
                                 "engineThree",
-                                engine),
+                                engineFlags),
                         new TargetPlan(
                                 "service-1",
                                 "host-4",
@@ -113,9 +113,9 @@
     }
 
     /**
-     * Returns the same plan for another configuration.
+     * Returns a copy of this plan that publishes another configuration.
      *
-     * @param other the configuration to publish
+     * @param other path of the configuration to publish
      * @return the plan
      */
     public StackPlan withDocument(Path other) {
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/StandInProcess.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/StandInProcess.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A stand-in as a process. */
+/** A stand-in that runs in a separate process; one process may run several stand-ins. */
 public final class StandInProcess {
     private static final String MAIN = "org.tamaracktrack.standins.Main";
     private static final String LOOPBACK = "127.0.0.1:";
     private static final int HEAP_MEBIBYTES = 128;
-    private static final Duration START_LIMIT = Duration.ofSeconds(30);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
 
     private final RunningProgram program;
     private final int index;
@@ -23,13 +23,13 @@
     }
 
     /**
-     * Starts a stand-in; it may not be ready yet.
+     * Starts the process of a stand-in without waiting until it is ready.
      *
-     * @param name its name
-     * @param kind log, hosts, weights, engine or service
-     * @param flags its flags
-     * @param directory where its output goes
-     * @return the stand-in
+     * @param name the name of the process
+     * @param kind the kind of stand-in: log, hosts, weights, engine or service
+     * @param flags the command-line flags of the stand-in
+     * @param directory the directory for its output file
+     * @return the first stand-in of the process
      */
     public static StandInProcess start(
             String name, String kind, List<String> flags, Path directory) {
@@ -43,55 +43,56 @@
     }
 
     /**
-     * Returns another stand-in of the same process.
+     * Returns the stand-in with the given index in the same process.
      *
-     * @param other its index in the process, from 0
+     * @param other the index, from 0
      * @return the stand-in
      */
-    public StandInProcess at(int other) {
+    public StandInProcess atIndex(int other) {
         return new StandInProcess(program, other);
     }
 
-    private String port(String field) {
-        Map<String, String> ready = program.awaitReady(START_LIMIT);
+    private String addressOf(String field) {
+        Map<String, String> ready = program.awaitReady(START_TIMEOUT);
         return LOOPBACK + ready.get(field).split(",")[index];
     }
 
     /**
-     * Returns where it serves, once it does.
+     * Returns the address at which it serves. Waits until the process has printed its ready line.
      *
-     * @return IP number and port
+     * @return IP address and port
      */
     public String address() {
-        return port("port");
+        return addressOf("port");
     }
 
     private String controlAddress() {
-        return port("control");
+        return addressOf("control");
     }
 
     /**
-     * Tells it to misbehave, or to stop doing so.
+     * Sends a PUT request to its control interface, which switches simulated faults on and off.
      *
-     * @param path the control path
-     * @param body JSON
+     * @param path the path at the control interface
+     * @param body the JSON text of the request
      */
-    public void tell(String path, String body) {
-        Web.put(controlAddress(), path, body);
+    public void putControl(String path, String body) {
+        SimpleHttpClient.putJson(controlAddress(), path, body);
     }
 
     /**
-     * Asks what it saw.
+     * Sends a GET request to its control interface, which returns its state and what it has
+     * recorded.
      *
-     * @param path the control path
-     * @return JSON
+     * @param path the path at the control interface
+     * @return the JSON value of the answer
      */
-    public JsonNode ask(String path) {
-        return Web.json(controlAddress(), path);
+    public JsonNode getControl(String path) {
+        return SimpleHttpClient.getJson(controlAddress(), path);
     }
 
     /**
-     * Returns its process.
+     * Returns the underlying process.
      *
      * @return the process
      */
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/TargetPlan.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/TargetPlan.java
@@ -4,15 +4,16 @@
 import java.util.Objects;
 
 /**
- * A target to start.
+ * Description of one target of a local stack.
  *
  * @param name the target's name in the configuration
- * @param host its host
+ * @param host the name of its host
  * @param dataCentre the host's data centre
- * @param process the stand-in process it is in; targets of one kind with the same flags may share
+ * @param process the name of its stand-in process; targets of one kind with the same flags may
+ *     share a process
  * @param kind the kind of stand-in: engine or service
- * @param parameter the configuration's parameter that holds its endpoint
- * @param flags flags for its stand-in
+ * @param parameter the parameter of the configuration that holds its endpoint
+ * @param flags command-line flags of its stand-in
  */
 public record TargetPlan(
         String name,
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/Waiting.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/Waiting.java
@@ -5,27 +5,27 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Waits for something in another process, which can only be asked for. */
+/** Waits for conditions of other processes by polling. */
 public final class Waiting {
-    private static final long PAUSE_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     private Waiting() {}
 
     /**
-     * Waits until a condition holds.
+     * Polls a condition until it holds.
      *
-     * @param what the condition in words
-     * @param limit how long to wait
+     * @param description the condition in words, for the error message
+     * @param timeout the maximum time to wait
      * @param condition the condition
      * @throws StackException when it does not hold in time
      */
-    public static void until(String what, Duration limit, BooleanSupplier condition) {
-        long end = System.nanoTime() + limit.toNanos();
+    public static void until(String description, Duration timeout, BooleanSupplier condition) {
+        long deadline = System.nanoTime() + timeout.toNanos();
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() - end > 0) {
-                throw StackException.of("not in " + limit + ": " + what);
+            if (System.nanoTime() - deadline > 0) {
+                throw StackException.of("condition not met within " + timeout + ": " + description);
             }
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(PAUSE_MILLIS));
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(POLL_INTERVAL_MILLIS));
         }
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/stack/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/stack/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the whole system as separate processes on one machine. */
+/** Runs the whole system as separate processes on one host. */
 package org.tamaracktrack.bench.stack;
--- a/bench/src/test/java/org/tamaracktrack/bench/caller/AnswerCheckTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/caller/AnswerCheckTest.java
@@ -49,24 +49,24 @@
     @Nested
     class Streams {
         @Test
-        void shouldBeWholeWithEveryToken() {
+        void shouldBeWholeWhenEveryTokenIsPresent() {
             assertThat(check(stream(REQUEST))).isEqualTo(Outcome.WHOLE);
         }
 
         @Test
-        void shouldBeWrongWithoutTheEnd() {
+        void shouldBeWrongWhenTheDoneEventIsMissing() {
             assertThat(check(event(REQUEST, 0) + event(REQUEST, 1))).isEqualTo(Outcome.WRONG);
         }
 
         @Test
-        void shouldBeWrongWithATokenMissingOrDoubled() {
+        void shouldBeWrongWhenATokenIsMissingOrDuplicated() {
             String end = event(REQUEST, 1) + "data: [DONE]\n\n";
             assertThat(check(end)).isEqualTo(Outcome.WRONG);
             assertThat(check(event(REQUEST, 0) + event(REQUEST, 0) + end)).isEqualTo(Outcome.WRONG);
         }
 
         @Test
-        void shouldBeWrongWhenTheyAnswerAnother() {
+        void shouldBeWrongWhenItAnswersAnotherRequest() {
             ModelRequest other = ModelRequest.of(REQUEST.caller(), "m", "bye").streamed(2);
             assertThat(check(stream(other))).isEqualTo(Outcome.WRONG);
         }
@@ -75,14 +75,14 @@
     @Nested
     class Errors {
         @Test
-        void shouldSayWhetherTheRequestRan() {
+        void shouldTellWhetherTheRequestRan() {
             byte[] notRun = bytes("{\"error\":{\"code\":\"OVERLOADED\",\"ran\":\"no\"}}");
             byte[] unknown =
                     bytes("{\"error\":{\"code\":\"OUTCOME_UNKNOWN\",\"ran\":\"unknown\"}}");
             assertThat(AnswerCheck.check(REQUEST, 429, notRun)).isEqualTo(Outcome.NOT_RUN);
             assertThat(AnswerCheck.check(REQUEST, 502, unknown)).isEqualTo(Outcome.MAY_HAVE_RUN);
             assertThat(AnswerCheck.check(REQUEST, 502, bytes(""))).isEqualTo(Outcome.MAY_HAVE_RUN);
-            assertThat(AnswerCheck.code(notRun)).isEqualTo("OVERLOADED");
+            assertThat(AnswerCheck.errorCode(notRun)).isEqualTo("OVERLOADED");
         }
     }
 
@@ -102,7 +102,7 @@
         }
 
         @Test
-        void shouldNeedTheSameBody() {
+        void shouldRequireTheSameBody() {
             assertThat(AnswerCheck.check(request, 200, answer("b"))).isEqualTo(Outcome.WHOLE);
             assertThat(AnswerCheck.check(request, 200, answer("c"))).isEqualTo(Outcome.WRONG);
         }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/Verdicts.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/ExchangeAssertions.java
@@ -6,24 +6,24 @@
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.SteadyLoad;
 import org.tamaracktrack.bench.stack.LocalStack;
-import org.tamaracktrack.bench.stack.RunBook;
+import org.tamaracktrack.bench.stack.RunCounts;
 
 /** What must hold of every exchange, whatever failed meanwhile. */
-final class Verdicts {
-    private Verdicts() {}
+final class ExchangeAssertions {
+    private ExchangeAssertions() {}
 
-    static void assertPromisesKept(LocalStack stack, List<SteadyLoad.Exchange> exchanges) {
-        RunBook runs = RunBook.of(stack);
-        exchanges.forEach(exchange -> assertPromisesKept(runs, exchange));
+    static void assertGuaranteesHold(LocalStack stack, List<SteadyLoad.Exchange> exchanges) {
+        RunCounts runs = RunCounts.of(stack);
+        exchanges.forEach(exchange -> assertGuaranteesHold(runs, exchange));
         assertNoOvercommit(stack);
     }
 
-    private static void assertPromisesKept(RunBook runs, SteadyLoad.Exchange exchange) {
+    private static void assertGuaranteesHold(RunCounts runs, SteadyLoad.Exchange exchange) {
         int ran = runs.runsOf(exchange.request().promptHash());
         assertWithMessage("%s", exchange)
-                .that(exchange.seen().outcome())
+                .that(exchange.observation().outcome())
                 .isNotEqualTo(Outcome.WRONG);
-        if (exchange.seen().outcome() == Outcome.NOT_RUN) {
+        if (exchange.observation().outcome() == Outcome.NOT_RUN) {
             assertWithMessage("runs of a request said not to have run: %s", exchange)
                     .that(ran)
                     .isEqualTo(0);
@@ -41,7 +41,7 @@
                         (name, engine) ->
                                 assertWithMessage("overcommits of %s", name)
                                         .that(
-                                                engine.ask("/control/state")
+                                                engine.getControl("/control/state")
                                                         .get("overcommits")
                                                         .asInt())
                                         .isEqualTo(0));
@@ -49,13 +49,13 @@
 
     static List<SteadyLoad.Exchange> whole(List<SteadyLoad.Exchange> exchanges) {
         return exchanges.stream()
-                .filter(exchange -> exchange.seen().outcome() == Outcome.WHOLE)
+                .filter(exchange -> exchange.observation().outcome() == Outcome.WHOLE)
                 .toList();
     }
 
     static List<SteadyLoad.Exchange> notWhole(List<SteadyLoad.Exchange> exchanges) {
         return exchanges.stream()
-                .filter(exchange -> exchange.seen().outcome() != Outcome.WHOLE)
+                .filter(exchange -> exchange.observation().outcome() != Outcome.WHOLE)
                 .toList();
     }
 }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/FencingTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/FencingTest.java
@@ -18,9 +18,9 @@
 import org.tamaracktrack.bench.stack.Waiting;
 
 @Timeout(90)
-@ExtendWith(HealthyStack.class)
+@ExtendWith(SharedStackExtension.class)
 class FencingTest {
-    private static final Duration LIMIT = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final String SAMPLE = "../docs/sample-configuration.yaml";
 
     private static void publish(LocalStack stack, Map<String, String> changes) throws IOException {
@@ -35,12 +35,12 @@
         assertThat(result.status()).isEqualTo(0);
     }
 
-    private static boolean orderOnItsWay(StandInProcess engine) {
-        return engine.ask("/control/orders").get("onTheirWay").asInt() > 0;
+    private static boolean hasOrderInTransit(StandInProcess engine) {
+        return engine.getControl("/control/orders").get("onTheirWay").asInt() > 0;
     }
 
     private static boolean holdsOnlyVersion(StandInProcess engine, String version) {
-        JsonNode models = engine.ask("/control/state").get("models");
+        JsonNode models = engine.getControl("/control/state").get("models");
         return !models.isEmpty()
                 && StreamSupport.stream(models.spliterator(), false)
                         .allMatch(model -> model.get("version").asText().equals(version));
@@ -54,20 +54,20 @@
         // the late order does, if it did not reserve memory for what its predecessor may have
         // sent.
         StandInProcess engine = stack.standIn("engine-3");
-        engine.tell("/control/orders", "{\"lose\":0,\"delayMillis\":1500,\"double\":0}");
-        publish(stack, Map.of("version: \"1\", memoryMebibytes: 8192", version("2")));
+        engine.putControl("/control/orders", "{\"lose\":0,\"delayMillis\":1500,\"double\":0}");
+        publish(stack, Map.of("version: \"1\", memoryMebibytes: 8192", modelVersionText("2")));
         for (int kill = 0; kill < 3; kill++) {
-            Waiting.until("an order is on its way", LIMIT, () -> orderOnItsWay(engine));
+            Waiting.until("an order is on its way", TIMEOUT, () -> hasOrderInTransit(engine));
             stack.target("engine-3").program().kill();
             stack.restartTarget("engine-3");
         }
-        engine.tell("/control/orders", "{\"lose\":0,\"delayMillis\":0,\"double\":0}");
-        Waiting.until("the new versions are there", LIMIT, () -> holdsOnlyVersion(engine, "2"));
-        Verdicts.assertNoOvercommit(stack);
+        engine.putControl("/control/orders", "{\"lose\":0,\"delayMillis\":0,\"double\":0}");
+        Waiting.until("the new versions are there", TIMEOUT, () -> holdsOnlyVersion(engine, "2"));
+        ExchangeAssertions.assertNoOvercommit(stack);
         publish(stack, Map.of());
     }
 
-    private static String version(String number) {
+    private static String modelVersionText(String number) {
         return "version: \"" + number + "\", memoryMebibytes: 8192";
     }
 }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/PlannedStopTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/PlannedStopTest.java
@@ -21,18 +21,22 @@
 import org.tamaracktrack.bench.stack.SampleAccounts;
 
 @Timeout(90)
-@ExtendWith(HealthyStack.class)
+@ExtendWith(SharedStackExtension.class)
 class PlannedStopTest {
     private static final int LONG_STREAM_TOKENS = 600;
-    private static final Duration STOP_LIMIT = Duration.ofSeconds(40);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(40);
 
     private final Caller caller = Caller.of();
 
     /** Starts a long stream to every model through every entry, and waits until all have begun. */
-    private List<CompletableFuture<Observation>> longStreams(LocalStack stack) throws Exception {
+    private List<CompletableFuture<Observation>> startLongStreams(LocalStack stack)
+            throws Exception {
         List<ModelRequest> requests =
-                SampleAccounts.toEveryModel(HealthyStack.newPrompt()).stream()
-                        .map(request -> request.streamed(LONG_STREAM_TOKENS).inClass("batch"))
+                SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt()).stream()
+                        .map(
+                                request ->
+                                        request.streamed(LONG_STREAM_TOKENS)
+                                                .withRequestClass("batch"))
                         .toList();
         CountDownLatch begun = new CountDownLatch(requests.size() * stack.entries().size());
         List<CompletableFuture<Observation>> streams = new ArrayList<>();
@@ -50,8 +54,8 @@
         return streams;
     }
 
-    private void assertNothingCut(LocalStack stack, RunningProgram... programs) throws Exception {
-        List<CompletableFuture<Observation>> streams = longStreams(stack);
+    private void assertNoStreamCut(LocalStack stack, RunningProgram... programs) throws Exception {
+        List<CompletableFuture<Observation>> streams = startLongStreams(stack);
         List.of(programs).forEach(RunningProgram::terminate);
         streams.forEach(
                 stream ->
@@ -59,27 +63,28 @@
                                 .that(stream.join().outcome())
                                 .isEqualTo(Outcome.WHOLE));
         List.of(programs)
-                .forEach(program -> assertThat(program.awaitExit(STOP_LIMIT)).isEqualTo(0));
+                .forEach(program -> assertThat(program.awaitExit(STOP_TIMEOUT)).isEqualTo(0));
     }
 
     @Test
     void shouldCutNoStreamWhenATargetDaemonStops(LocalStack stack) throws Exception {
         // Long streams run at every engine when one target daemon gets SIGTERM. It announces
         // that it leaves, takes nothing new, and ends only when its last stream has ended.
-        assertNothingCut(stack, stack.target("engine-1").program());
+        assertNoStreamCut(stack, stack.target("engine-1").program());
     }
 
     @Test
     void shouldCutNoStreamWhenAnEntryDaemonStops(LocalStack stack) throws Exception {
         // Long streams run through both entry daemons when one gets SIGTERM. It fails readiness,
         // goes on for as long as the balancer may lag, and ends only with its last stream.
-        assertNothingCut(stack, stack.entry(0).program());
+        assertNoStreamCut(stack, stack.entry(0).program());
     }
 
     @Test
-    void shouldCutNoStreamWhenTwoStopAtOnce(LocalStack stack) throws Exception {
+    void shouldCutNoStreamWhenAnEntryAndATargetDaemonStopTogether(LocalStack stack)
+            throws Exception {
         // An entry daemon and a target daemon get SIGTERM together, with streams between just
         // these two; neither may take the other's leaving as a reason to end early.
-        assertNothingCut(stack, stack.entry(1).program(), stack.target("engine-2").program());
+        assertNoStreamCut(stack, stack.entry(1).program(), stack.target("engine-2").program());
     }
 }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/ProcessFailureTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/ProcessFailureTest.java
@@ -1,8 +1,8 @@
 package org.tamaracktrack.bench.endtoend;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.tamaracktrack.bench.endtoend.Verdicts.assertPromisesKept;
-import static org.tamaracktrack.bench.endtoend.Verdicts.notWhole;
+import static org.tamaracktrack.bench.endtoend.ExchangeAssertions.assertGuaranteesHold;
+import static org.tamaracktrack.bench.endtoend.ExchangeAssertions.notWhole;
 
 import java.util.List;
 import java.util.Optional;
@@ -20,75 +20,76 @@
 import org.tamaracktrack.bench.stack.SampleAccounts;
 
 @Timeout(90)
-@ExtendWith(HealthyStack.class)
+@ExtendWith(SharedStackExtension.class)
 class ProcessFailureTest {
-    private static final int CALLERS_EACH = 6;
+    private static final int CALLERS_PER_ENTRY = 6;
 
     private static ModelRequest request(int number) {
-        List<ModelRequest> models = SampleAccounts.toEveryModel(HealthyStack.newPrompt());
+        List<ModelRequest> models =
+                SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt());
         ModelRequest request = models.get(number % models.size());
-        return number % 2 == 0 ? request : request.once(Optional.empty());
+        return number % 2 == 0 ? request : request.nonIdempotent(Optional.empty());
     }
 
-    private static SteadyLoad load(LocalStack stack) {
+    private static SteadyLoad startLoad(LocalStack stack) {
         List<String> addresses = stack.entries().stream().map(DaemonProcess::httpAddress).toList();
-        return SteadyLoad.start(addresses, CALLERS_EACH, ProcessFailureTest::request);
+        return SteadyLoad.start(addresses, CALLERS_PER_ENTRY, ProcessFailureTest::request);
     }
 
-    private static Predicate<Exchange> whole() {
-        return exchange -> exchange.seen().outcome() == Outcome.WHOLE;
+    private static Predicate<Exchange> isWhole() {
+        return exchange -> exchange.observation().outcome() == Outcome.WHOLE;
     }
 
-    private static Predicate<Exchange> wholeThrough(String address) {
-        return whole().and(exchange -> exchange.address().equals(address));
+    private static Predicate<Exchange> isWholeThrough(String address) {
+        return isWhole().and(exchange -> exchange.address().equals(address));
     }
 
     @Nested
     class TargetDaemons {
         @Test
-        void shouldKeepEveryPromiseWhenOneIsKilled(LocalStack stack) {
+        void shouldKeepRunGuaranteesWhenOneIsKilled(LocalStack stack) {
             // Callers of the killed daemon's models see an answer from another copy, or an error
             // that says whether the request ran. The daemon dies by SIGKILL with requests in its
             // queue and at its engine; a new one takes the target over with a higher fencing
             // number while the engine may still work for the old one.
-            SteadyLoad load = load(stack);
-            load.await(50, whole());
+            SteadyLoad load = startLoad(stack);
+            load.await(50, isWhole());
             stack.target("engine-1").program().kill();
-            load.await(30, whole());
+            load.await(30, isWhole());
             stack.restartTarget("engine-1");
             stack.awaitReady();
-            load.await(50, whole());
-            assertPromisesKept(stack, load.stop());
+            load.await(50, isWhole());
+            assertGuaranteesHold(stack, load.stop());
         }
 
         @Test
-        void shouldKeepEveryPromiseWhenOneIsPaused(LocalStack stack) {
+        void shouldKeepRunGuaranteesWhenOneIsPaused(LocalStack stack) {
             // Callers wait, or get an error that says whether the request ran. The daemon stands
             // still by SIGSTOP with its connections open, so nothing tells the entry daemons but
             // silence; when it goes on, it answers requests that have been given up on.
-            SteadyLoad load = load(stack);
-            load.await(50, whole());
+            SteadyLoad load = startLoad(stack);
+            load.await(50, isWhole());
             stack.target("engine-2").program().pause();
-            load.await(20, whole());
+            load.await(20, isWhole());
             stack.target("engine-2").program().resume();
-            load.await(50, whole());
-            assertPromisesKept(stack, load.stop());
+            load.await(50, isWhole());
+            assertGuaranteesHold(stack, load.stop());
         }
     }
 
     @Nested
     class EntryDaemons {
         @Test
-        void shouldNotTouchTheCallersOfOthersWhenOneIsKilled(LocalStack stack) {
+        void shouldNotAffectCallersOfTheOtherWhenOneIsKilled(LocalStack stack) {
             // Callers of the killed daemon see their connections break; those of the other see
             // nothing. The targets find a connection closed and cancel or finish what came by it.
             String other = stack.entry(1).httpAddress();
-            SteadyLoad load = load(stack);
-            load.await(50, whole());
+            SteadyLoad load = startLoad(stack);
+            load.await(50, isWhole());
             stack.entry(0).program().kill();
-            load.await(100, wholeThrough(other));
+            load.await(100, isWholeThrough(other));
             List<Exchange> exchanges = load.stop();
-            assertPromisesKept(stack, exchanges);
+            assertGuaranteesHold(stack, exchanges);
             assertThat(
                             notWhole(exchanges).stream()
                                     .filter(exchange -> exchange.address().equals(other))
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/WhoGotWhatTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/ReportAccuracyTest.java
@@ -11,29 +11,30 @@
 import org.tamaracktrack.bench.caller.ModelRequest;
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.SteadyLoad;
+import org.tamaracktrack.bench.report.ObservedRequest;
 import org.tamaracktrack.bench.report.ReportCheck;
-import org.tamaracktrack.bench.report.Seen;
 import org.tamaracktrack.bench.stack.DaemonProcess;
 import org.tamaracktrack.bench.stack.LocalStack;
 import org.tamaracktrack.bench.stack.SampleAccounts;
 import org.tamaracktrack.bench.stack.StackPlan;
 
 @Timeout(120)
-class WhoGotWhatTest {
-    private static final int CALLERS_EACH = 4;
+class ReportAccuracyTest {
+    private static final int CALLERS_PER_ENTRY = 4;
 
     private static ModelRequest request(int number) {
-        List<ModelRequest> models = SampleAccounts.toEveryModel(HealthyStack.newPrompt());
+        List<ModelRequest> models =
+                SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt());
         ModelRequest request = models.get(number % models.size());
-        return number % 2 == 0 ? request.streamed(12) : request.once(Optional.empty());
+        return number % 2 == 0 ? request.streamed(12) : request.nonIdempotent(Optional.empty());
     }
 
-    private static void awaitWhole(SteadyLoad load, int count) {
-        load.await(count, exchange -> exchange.seen().outcome() == Outcome.WHOLE);
+    private static void awaitWholeAnswers(SteadyLoad load, int count) {
+        load.await(count, exchange -> exchange.observation().outcome() == Outcome.WHOLE);
     }
 
     @Test
-    void shouldReportWhatCallersSawWhenATargetDaemonIsKilledAndTheLogIsOut() {
+    void shouldReportWhatCallersObservedWhenATargetDaemonIsKilledAndTheLogIsUnavailable() {
         // Callers get whole answers, refusals and errors while a target daemon is killed and
         // replaced and the log is out for a while. Counters can't be written in the outage and
         // some appends are repeated after it; in the end the report has to say, row by row, what
@@ -42,20 +43,24 @@
         try (LocalStack stack = LocalStack.start(plan)) {
             List<String> addresses =
                     stack.entries().stream().map(DaemonProcess::httpAddress).toList();
-            SteadyLoad load = SteadyLoad.start(addresses, CALLERS_EACH, WhoGotWhatTest::request);
-            awaitWhole(load, 50);
-            stack.log().tell("/control/outage", "{\"on\":true}");
-            awaitWhole(load, 50);
-            stack.log().tell("/control/outage", "{\"on\":false}");
-            stack.log().tell("/control/lose-answers", "{\"count\":5}");
+            SteadyLoad load =
+                    SteadyLoad.start(addresses, CALLERS_PER_ENTRY, ReportAccuracyTest::request);
+            awaitWholeAnswers(load, 50);
+            stack.log().putControl("/control/outage", "{\"on\":true}");
+            awaitWholeAnswers(load, 50);
+            stack.log().putControl("/control/outage", "{\"on\":false}");
+            stack.log().putControl("/control/lose-answers", "{\"count\":5}");
             stack.target("engine-1").program().kill();
-            awaitWhole(load, 30);
+            awaitWholeAnswers(load, 30);
             stack.restartTarget("engine-1");
             stack.awaitReady();
-            awaitWhole(load, 50);
-            List<Seen> seen =
+            awaitWholeAnswers(load, 50);
+            List<ObservedRequest> seen =
                     load.stop().stream()
-                            .map(exchange -> Seen.of(exchange.request(), exchange.seen()))
+                            .map(
+                                    exchange ->
+                                            ObservedRequest.of(
+                                                    exchange.request(), exchange.observation()))
                             .toList();
             Map<String, Integer> statuses = stack.stopDaemons();
             assertThat(statuses.values()).containsNoneIn(List.of(1, 2, 3, 137, 143));
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/PathTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/RequestPathTest.java
@@ -17,13 +17,13 @@
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.ServiceRequest;
 import org.tamaracktrack.bench.stack.LocalStack;
-import org.tamaracktrack.bench.stack.RunBook;
+import org.tamaracktrack.bench.stack.RunCounts;
 import org.tamaracktrack.bench.stack.SampleAccounts;
 import org.tamaracktrack.standins.http.Sha256;
 
 @Timeout(60)
-@ExtendWith(HealthyStack.class)
-class PathTest {
+@ExtendWith(SharedStackExtension.class)
+class RequestPathTest {
     private final Caller caller = Caller.of();
 
     private void assertWhole(String address, ModelRequest request) {
@@ -39,23 +39,24 @@
             stack.entries()
                     .forEach(
                             entry ->
-                                    SampleAccounts.toEveryModel(HealthyStack.newPrompt())
+                                    SampleAccounts.requestsToEveryModel(
+                                                    SharedStackExtension.newPrompt())
                                             .forEach(r -> assertWhole(entry.httpAddress(), r)));
         }
 
         @Test
-        void shouldStreamToTheEnd(LocalStack stack) {
-            SampleAccounts.toEveryModel(HealthyStack.newPrompt())
+        void shouldStreamEveryModelToTheEnd(LocalStack stack) {
+            SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt())
                     .forEach(r -> assertWhole(stack.entry(0).httpAddress(), r.streamed(30)));
         }
 
         @Test
-        void shouldUseTheAdapterThatIsAskedFor(LocalStack stack) {
+        void shouldUseTheRequestedAdapter(LocalStack stack) {
             ModelRequest request =
                     ModelRequest.of(
                                     SampleAccounts.CEVALLOS,
                                     "order-reader",
-                                    HealthyStack.newPrompt())
+                                    SharedStackExtension.newPrompt())
                             .withAdapter("quito-south");
             assertWhole(stack.entry(1).httpAddress(), request);
         }
@@ -64,19 +65,21 @@
         void shouldHideTheModelsOfOtherAccounts(LocalStack stack) {
             ModelRequest request =
                     ModelRequest.of(
-                            SampleAccounts.CEVALLOS, "history-writer", HealthyStack.newPrompt());
+                            SampleAccounts.CEVALLOS,
+                            "history-writer",
+                            SharedStackExtension.newPrompt());
             Observation seen = caller.send(stack.entry(0).httpAddress(), request).join();
             assertThat(seen.outcome()).isEqualTo(Outcome.NOT_RUN);
             assertThat(seen.code()).isEqualTo("UNKNOWN_MODEL");
         }
 
         @Test
-        void shouldRefuseAWrongKey(LocalStack stack) {
+        void shouldRefuseAnUnknownKey(LocalStack stack) {
             ModelRequest request =
                     ModelRequest.of(
                             new CallerKey("cevallos", "wrong"),
                             "order-reader",
-                            HealthyStack.newPrompt());
+                            SharedStackExtension.newPrompt());
             Observation seen = caller.send(stack.entry(0).httpAddress(), request).join();
             assertThat(seen.status()).isEqualTo(401);
         }
@@ -85,13 +88,16 @@
     @Nested
     class Services {
         @Test
-        void shouldPassOnMethodPathAndBody(LocalStack stack) {
+        void shouldForwardMethodPathAndBody(LocalStack stack) {
             List.of("GET", "POST", "PUT", "DELETE")
                     .forEach(
                             method -> {
-                                String body = method.equals("GET") ? "" : HealthyStack.newPrompt();
+                                String body =
+                                        method.equals("GET")
+                                                ? ""
+                                                : SharedStackExtension.newPrompt();
                                 ServiceRequest call =
-                                        SampleAccounts.toService(
+                                        SampleAccounts.serviceRequest(
                                                 SampleAccounts.KTIMATOLOGOS,
                                                 method,
                                                 body,
@@ -107,7 +113,7 @@
     @Nested
     class IdempotencyKeys {
         @Test
-        void shouldRunOnceWhenTheSameKeyComesThroughTwoEntryDaemonsAtOnce(LocalStack stack) {
+        void shouldRunOnceWhenTwoEntryDaemonsReceiveTheSameKeyConcurrently(LocalStack stack) {
             // A caller's library repeats a call through the balancer while the first attempt is
             // still under way, so both entry daemons hold the same key at the same time. The
             // first claim in the log wins; the other call is told so and is not run.
@@ -116,10 +122,10 @@
 
         private void assertRunsOnce(LocalStack stack, String key) {
             ServiceRequest call =
-                    SampleAccounts.toService(
+                    SampleAccounts.serviceRequest(
                             SampleAccounts.CEVALLOS,
                             "POST",
-                            HealthyStack.newPrompt(),
+                            SharedStackExtension.newPrompt(),
                             Optional.of(key));
             List<Observation> seen =
                     stack.entries().stream()
@@ -128,7 +134,7 @@
                             .stream()
                             .map(future -> future.join())
                             .toList();
-            assertThat(RunBook.of(stack).runsOf(Sha256.hex(call.body()))).isEqualTo(1);
+            assertThat(RunCounts.of(stack).runsOf(Sha256.hex(call.body()))).isEqualTo(1);
             assertWithMessage("%s", seen)
                     .that(seen.stream().filter(s -> s.outcome() == Outcome.WHOLE).count())
                     .isEqualTo(1);
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/HealthyStack.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/SharedStackExtension.java
@@ -12,9 +12,9 @@
 import org.tamaracktrack.bench.stack.StackPlan;
 
 /** One sample system for all end-to-end tests, healed after each. */
-final class HealthyStack implements ParameterResolver, AfterEachCallback {
-    private static final Duration HEAL_LIMIT = Duration.ofSeconds(40);
-    private static final AtomicInteger PROMPTS = new AtomicInteger();
+final class SharedStackExtension implements ParameterResolver, AfterEachCallback {
+    private static final Duration RECOVERY_TIMEOUT = Duration.ofSeconds(40);
+    private static final AtomicInteger PROMPT_COUNT = new AtomicInteger();
 
     private record Holder(LocalStack stack) implements ExtensionContext.Store.CloseableResource {
         @Override
@@ -24,14 +24,16 @@
     }
 
     static String newPrompt() {
-        return "prompt " + PROMPTS.incrementAndGet();
+        return "prompt " + PROMPT_COUNT.incrementAndGet();
     }
 
-    private static LocalStack stack(ExtensionContext context) {
+    private static LocalStack sharedStack(ExtensionContext context) {
         return context.getRoot()
                 .getStore(ExtensionContext.Namespace.GLOBAL)
                 .getOrComputeIfAbsent(
-                        HealthyStack.class.getName(), key -> new Holder(start()), Holder.class)
+                        SharedStackExtension.class.getName(),
+                        key -> new Holder(start()),
+                        Holder.class)
                 .stack();
     }
 
@@ -49,26 +51,26 @@
 
     @Override
     public Object resolveParameter(ParameterContext parameter, ExtensionContext context) {
-        return stack(context);
+        return sharedStack(context);
     }
 
     @Override
     public void afterEach(ExtensionContext context) {
-        LocalStack stack = stack(context);
-        stack.log().tell("/control/outage", "{\"on\":false}");
+        LocalStack stack = sharedStack(context);
+        stack.log().putControl("/control/outage", "{\"on\":false}");
         stack.engines()
                 .values()
                 .forEach(
                         engine ->
-                                engine.tell(
+                                engine.putControl(
                                         "/control/orders",
                                         "{\"lose\":0,\"delayMillis\":0,\"double\":0}"));
-        restartTheDead(stack);
+        restartEndedDaemons(stack);
         stack.awaitReady();
         awaitEveryModel(stack);
     }
 
-    private static void restartTheDead(LocalStack stack) {
+    private static void restartEndedDaemons(LocalStack stack) {
         stack.targets()
                 .forEach(
                         (name, daemon) -> {
@@ -86,6 +88,6 @@
     }
 
     static void awaitEveryModel(LocalStack stack) {
-        SampleAccounts.awaitEveryModel(stack, HEAL_LIMIT);
+        SampleAccounts.awaitEveryModel(stack, RECOVERY_TIMEOUT);
     }
 }
