--- a/bench/src/main/java/org/tamaracktrack/bench/caller/AnswerCheck.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/AnswerCheck.java
@@ -12,7 +12,7 @@
 import org.tamaracktrack.standins.engine.AnswerText;
 import org.tamaracktrack.standins.http.Sha256;
 
-/** Decides whether an answer is whole and the answer to the request. */
+/** Checks whether an answer is complete and belongs to its request. */
 public final class AnswerCheck {
     private static final int OK = 200;
     private static final String DATA_PREFIX = "data: ";
@@ -21,37 +21,39 @@
     private AnswerCheck() {}
 
     /**
-     * Checks the answer of a model.
+     * Checks the answer to a model request: the model, the adapter, the prompt hash, the text and
+     * the token count. A streamed answer must also end with the {@code [DONE]} event.
      *
-     * @param request what was asked
-     * @param status the HTTP status
-     * @param body the body as it came
-     * @return what the caller got
+     * @param request the request
+     * @param status the HTTP status of the answer
+     * @param body the received body
+     * @return the outcome for the caller
      */
     public static Outcome check(ModelRequest request, int status, byte[] body) {
         if (status != OK) {
             return errorOutcome(body);
         }
-        boolean good =
+        boolean valid =
                 request.stream()
                         ? isCompleteStream(request, body)
                         : isCompleteAnswer(request, body);
-        return good ? Outcome.WHOLE : Outcome.WRONG;
+        return valid ? Outcome.WHOLE : Outcome.WRONG;
     }
 
     /**
-     * Checks the answer of a plain service.
+     * Checks the answer of a plain service, which repeats service, method, path and body hash of
+     * the request.
      *
-     * @param request what was asked
-     * @param status the HTTP status
-     * @param body the body as it came
-     * @return what the caller got
+     * @param request the request
+     * @param status the HTTP status of the answer
+     * @param body the received body
+     * @return the outcome for the caller
      */
     public static Outcome check(ServiceRequest request, int status, byte[] body) {
         if (status != OK) {
             return errorOutcome(body);
         }
-        boolean good =
+        boolean valid =
                 parseJson(body)
                         .filter(answer -> fieldText(answer, "service").equals(request.service()))
                         .filter(answer -> fieldText(answer, "method").equals(request.method()))
@@ -61,14 +63,14 @@
                                         fieldText(answer, "body_sha256")
                                                 .equals(Sha256.hex(request.body())))
                         .isPresent();
-        return good ? Outcome.WHOLE : Outcome.WRONG;
+        return valid ? Outcome.WHOLE : Outcome.WRONG;
     }
 
     /**
-     * Returns the code of an error.
+     * Returns the error code of an error body.
      *
-     * @param body the body as it came
-     * @return the code, or empty
+     * @param body the received body
+     * @return the code, or an empty string when the body has none
      */
     public static String errorCode(byte[] body) {
         return parseJson(body).map(answer -> answer.at("/error/code").asText("")).orElse("");
@@ -142,7 +144,7 @@
     private static Optional<JsonNode> parseJson(byte[] body) {
         try {
             return Optional.ofNullable(Codecs.json().readTree(body));
-        } catch (IOException wrong) {
+        } catch (IOException invalid) {
             return Optional.empty();
         }
     }
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/Caller.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/Caller.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiFunction;
 
-/** Sends requests and checks what comes back. Safe for use by several threads. */
+/** Sends requests and checks the answers. Instances are thread-safe. */
 public final class Caller {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
 
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Returns a caller.
+     * Returns a caller with an HTTP client of its own.
      *
      * @return the caller
      */
@@ -34,21 +34,21 @@
     /**
      * Sends a request to a model.
      *
-     * @param address IP number and port of the server
+     * @param address IP address and port of the entry daemon or engine
      * @param request the request
-     * @return what the caller saw
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> send(String address, ModelRequest request) {
         return send(address, request, () -> {});
     }
 
     /**
-     * Sends a request to a model.
+     * Sends a request to a model and reports the first byte of the answer.
      *
-     * @param address IP number and port of the server
+     * @param address IP address and port of the entry daemon or engine
      * @param request the request
-     * @param onFirstByte runs when the first byte of the body has come
-     * @return what the caller saw
+     * @param onFirstByte runs when the first bytes of the body are received
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> send(
             String address, ModelRequest request, Runnable onFirstByte) {
@@ -60,11 +60,11 @@
     }
 
     /**
-     * Calls a plain service.
+     * Sends a request to a plain service through an entry daemon.
      *
-     * @param address IP number and port of the server
-     * @param request the call
-     * @return what the caller saw
+     * @param address IP address and port of the entry daemon
+     * @param request the request
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> send(String address, ServiceRequest request) {
         Objects.requireNonNull(request, "request is null");
@@ -75,11 +75,11 @@
     }
 
     /**
-     * Calls a plain service itself, without the system between.
+     * Sends a request directly to a plain service, bypassing the daemons.
      *
-     * @param address IP number and port of the service
-     * @param request the call
-     * @return what the caller saw
+     * @param address IP address and port of the service
+     * @param request the request
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> sendDirect(String address, ServiceRequest request) {
         Objects.requireNonNull(request, "request is null");
@@ -92,7 +92,7 @@
     private CompletableFuture<Observation> send(
             HttpRequest request, Runnable onFirstByte, BiFunction<Integer, byte[], Outcome> check) {
         long start = System.nanoTime();
-        return client.sendAsync(request, head -> new TimedBody(onFirstByte))
+        return client.sendAsync(request, responseInfo -> new TimedBody(onFirstByte))
                 .handle(
                         (answer, failure) ->
                                 failure == null
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/CallerKey.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/CallerKey.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * A client account as its callers know it.
+ * Name and key of a client account, as a caller needs them.
  *
- * @param account its name
- * @param key the key that proves it
+ * @param account the name of the account
+ * @param key the key that authenticates the account
  */
 public record CallerKey(String account, String key) {
 
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/ModelRequest.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/ModelRequest.java
@@ -11,17 +11,17 @@
 import org.tamaracktrack.standins.http.Sha256;
 
 /**
- * A request to a model.
+ * A chat-completion request to a model.
  *
- * @param caller who asks
+ * @param caller the client account that sends it
  * @param model the model
- * @param adapter the adapter, if one is wanted
+ * @param adapter the adapter to use, if any
  * @param requestClass the request class
- * @param prompt the prompt, different for each request
- * @param tokens how many tokens the answer is to have
- * @param stream whether the answer is to be a stream
- * @param idempotent whether it may be run again
- * @param idempotencyKey the key of a request that may not be repeated
+ * @param prompt the prompt; must be unique, because runs are counted by its hash
+ * @param tokens the number of tokens of the answer
+ * @param stream whether the answer is streamed
+ * @param idempotent whether the request may run more than once
+ * @param idempotencyKey the idempotency key, if any, of a request that must not run more than once
  */
 public record ModelRequest(
         CallerKey caller,
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Returns an interactive request that may be run again.
+     * Returns an idempotent interactive request for 8 tokens, not streamed.
      *
-     * @param caller who asks
+     * @param caller the client account that sends it
      * @param model the model
      * @param prompt the prompt
      * @return the request
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Returns the same request with an adapter.
+     * Returns a copy of this request that uses an adapter.
      *
      * @param name the adapter
      * @return the request
@@ -84,9 +84,9 @@
     }
 
     /**
-     * Returns the same request for a stream.
+     * Returns a copy of this request whose answer is streamed.
      *
-     * @param length how many tokens the stream is to have
+     * @param length the number of tokens of the answer
      * @return the request
      */
     public ModelRequest streamed(int length) {
@@ -103,9 +103,9 @@
     }
 
     /**
-     * Returns the same request, not to be run again.
+     * Returns a copy of this request that must not run more than once.
      *
-     * @param key its idempotency key
+     * @param key the idempotency key, if any
      * @return the request
      */
     public ModelRequest nonIdempotent(Optional<String> key) {
@@ -114,9 +114,9 @@
     }
 
     /**
-     * Returns the same request in another class.
+     * Returns a copy of this request in another request class.
      *
-     * @param name the class
+     * @param name the request class
      * @return the request
      */
     public ModelRequest withRequestClass(String name) {
@@ -125,22 +125,22 @@
     }
 
     /**
-     * Returns the hash that the answer has to carry.
+     * Returns the prompt hash that a correct answer contains.
      *
-     * @return the prompt's SHA-256 in hex
+     * @return the prompt's SHA-256 in hexadecimal
      */
     public String promptHash() {
         return Sha256.hex(prompt);
     }
 
     /**
-     * Returns the request as HTTP.
+     * Returns the HTTP request to send.
      *
-     * @param address IP number and port of the server
-     * @return the request
+     * @param address IP address and port of the entry daemon or engine
+     * @return the HTTP request
      */
     public HttpRequest toHttp(String address) {
-        String name = adapter.map(used -> model + "+" + used).orElse(model);
+        String name = adapter.map(adapterName -> model + "+" + adapterName).orElse(model);
         byte[] body =
                 Codecs.encode(
                         Codecs.json(),
@@ -156,7 +156,7 @@
                         .header("Content-Type", "application/json")
                         .header("X-Request-Class", requestClass)
                         .header("X-Idempotent", Boolean.toString(idempotent))
-                        // What the engine needs when it is called without the system between.
+                        // Engines need this header when the request is sent to them directly.
                         .header("X-Model", model)
                         .POST(HttpRequest.BodyPublishers.ofByteArray(body));
         idempotencyKey.ifPresent(key -> builder.header("Idempotency-Key", key));
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/Observation.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/Observation.java
@@ -3,14 +3,16 @@
 import java.util.Objects;
 
 /**
- * What a caller saw of one request. Times are of the monotonic clock.
+ * Result of one request as observed by its caller. Times are readings of the monotonic clock.
  *
- * @param outcome what it got
- * @param status the HTTP status, or 0
- * @param code the error's code, the failure, or empty
- * @param startNanos when it was sent
- * @param firstByteNanos when the first byte of the body came, or when it ended
- * @param endNanos when it ended
+ * @param outcome the outcome
+ * @param status the HTTP status, or 0 when the connection failed
+ * @param code the error code, the class name of the connection failure, or empty when neither
+ *     applies
+ * @param startNanos time at which the request was sent
+ * @param firstByteNanos time at which the first bytes of the body were received, or the end time if
+ *     there were none
+ * @param endNanos time at which the answer was complete or the connection failed
  */
 public record Observation(
         Outcome outcome,
@@ -29,7 +31,7 @@
     }
 
     /**
-     * Returns how long all of it took.
+     * Returns the time from sending the request to its end.
      *
      * @return milliseconds
      */
@@ -38,7 +40,7 @@
     }
 
     /**
-     * Returns how long the first byte took.
+     * Returns the time from sending the request to the first byte of the body.
      *
      * @return milliseconds
      */
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/Outcome.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/Outcome.java
@@ -1,15 +1,15 @@
 package org.tamaracktrack.bench.caller;
 
-/** What a caller got. */
+/** Outcome of a request for its caller. */
 public enum Outcome {
-    /** The whole answer to its own request. */
+    /** A complete answer that belongs to the request. */
     WHOLE,
-    /** An error that says that the request did not run. */
+    /** An error that states that the request did not run. */
     NOT_RUN,
-    /** An error that says that the request ran, or may have. */
+    /** An error that doesn't rule out that the request ran. */
     MAY_HAVE_RUN,
-    /** The connection broke, before or within the answer. */
+    /** The connection failed before or during the answer. */
     BROKEN,
-    /** Something that looks like a good answer and is not: not whole, or not its own. */
+    /** A success status with an incomplete answer, or with the answer to another request. */
     WRONG
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/ServiceRequest.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/ServiceRequest.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * A call of a plain service.
+ * A request to a plain service.
  *
- * @param caller who asks
- * @param service the service
+ * @param caller the client account that sends it
+ * @param service the name of the service
  * @param method the HTTP method
  * @param path path and query at the service
- * @param body the body
- * @param idempotencyKey the key of a call that may not be repeated
+ * @param body the request body, may be empty
+ * @param idempotencyKey the idempotency key, if any
  */
 public record ServiceRequest(
         CallerKey caller,
@@ -33,20 +33,20 @@
     }
 
     /**
-     * Returns the call as HTTP.
+     * Returns the HTTP request that calls the service through an entry daemon.
      *
-     * @param address IP number and port of the server
-     * @return the call
+     * @param address IP address and port of the entry daemon
+     * @return the HTTP request
      */
     public HttpRequest toHttp(String address) {
         return buildRequest("http://" + address + "/v1/services/" + service + path);
     }
 
     /**
-     * Returns the call as HTTP to the service itself.
+     * Returns the HTTP request that calls the service directly.
      *
-     * @param address IP number and port of the service
-     * @return the call
+     * @param address IP address and port of the service
+     * @return the HTTP request
      */
     public HttpRequest toDirectHttp(String address) {
         return buildRequest("http://" + address + path);
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/SteadyLoad.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/SteadyLoad.java
@@ -10,11 +10,14 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 
-/** Callers that each send one request after the other until they are told to stop. */
+/**
+ * Closed-loop load: a fixed number of callers, each of which sends its next request when the
+ * previous one has ended, until the load is stopped.
+ */
 public final class SteadyLoad {
     private final Caller caller = Caller.of();
     private final IntFunction<ModelRequest> requests;
-    private final AtomicInteger sent = new AtomicInteger();
+    private final AtomicInteger sentCount = new AtomicInteger();
     private final Queue<Exchange> exchanges = new ConcurrentLinkedQueue<>();
     private final CountDownLatch runningCallers;
     private volatile boolean stopped;
@@ -25,28 +28,30 @@
     }
 
     /**
-     * A request and what its caller saw.
+     * A request and its result.
      *
-     * @param address where it was sent
+     * @param address IP address and port to which it was sent
      * @param request the request
-     * @param observation what the caller saw
+     * @param observation the result as observed by the caller
      */
     public record Exchange(String address, ModelRequest request, Observation observation) {}
 
     /**
-     * Starts callers.
+     * Starts the callers.
      *
-     * @param addresses where to send, each caller always to the same
-     * @param callersEach how many callers send to each
-     * @param requests gives the request with a number
+     * @param addresses IP addresses and ports to send to; each caller uses one of them
+     * @param callersPerAddress the number of callers for each address
+     * @param requests returns the request with a given sequence number; used by several threads
      * @return the running load
      */
     public static SteadyLoad start(
-            List<String> addresses, int callersEach, IntFunction<ModelRequest> requests) {
+            List<String> addresses, int callersPerAddress, IntFunction<ModelRequest> requests) {
         Objects.requireNonNull(requests, "requests is null");
-        SteadyLoad load = new SteadyLoad(requests, addresses.size() * callersEach);
+        SteadyLoad load = new SteadyLoad(requests, addresses.size() * callersPerAddress);
         addresses.forEach(
-                address -> IntStream.range(0, callersEach).forEach(each -> load.sendNext(address)));
+                address ->
+                        IntStream.range(0, callersPerAddress)
+                                .forEach(index -> load.sendNext(address)));
         return load;
     }
 
@@ -55,11 +60,11 @@
             runningCallers.countDown();
             return;
         }
-        ModelRequest request = requests.apply(sent.getAndIncrement());
+        ModelRequest request = requests.apply(sentCount.getAndIncrement());
         caller.send(address, request)
                 .thenAcceptAsync(
-                        seen -> {
-                            addExchange(new Exchange(address, request, seen));
+                        observation -> {
+                            addExchange(new Exchange(address, request, observation));
                             sendNext(address);
                         });
     }
@@ -70,14 +75,14 @@
     }
 
     /**
-     * Waits until so many exchanges of a kind have ended.
+     * Waits until a number of further exchanges that match a filter have ended.
      *
-     * @param count how many, counted from now
-     * @param wanted the kind
+     * @param count the number of matching exchanges, counted from this call
+     * @param filter selects the exchanges to count
      */
-    public synchronized void await(int count, Predicate<Exchange> wanted) {
-        long target = exchanges.stream().filter(wanted).count() + count;
-        while (exchanges.stream().filter(wanted).count() < target) {
+    public synchronized void await(int count, Predicate<Exchange> filter) {
+        long requiredCount = exchanges.stream().filter(filter).count() + count;
+        while (exchanges.stream().filter(filter).count() < requiredCount) {
             try {
                 wait();
             } catch (InterruptedException interrupted) {
@@ -88,9 +93,9 @@
     }
 
     /**
-     * Stops and waits for what is under way.
+     * Stops the callers and waits until the requests in progress have ended.
      *
-     * @return every exchange
+     * @return all exchanges since the start
      */
     public List<Exchange> stop() {
         stopped = true;
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/TimedBody.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/TimedBody.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow;
 
-/** Collects a body and notes when its first byte came. */
+/** Body subscriber that collects the body and records when its first bytes were received. */
 final class TimedBody implements HttpResponse.BodySubscriber<TimedBody.Body> {
     private final HttpResponse.BodySubscriber<byte[]> bytes =
             HttpResponse.BodySubscribers.ofByteArray();
@@ -21,7 +21,7 @@
 
     @Override
     public CompletionStage<Body> getBody() {
-        return bytes.getBody().thenApply(all -> new Body(all, firstByteNanos));
+        return bytes.getBody().thenApply(content -> new Body(content, firstByteNanos));
     }
 
     @Override
@@ -30,12 +30,12 @@
     }
 
     @Override
-    public void onNext(List<ByteBuffer> part) {
+    public void onNext(List<ByteBuffer> buffers) {
         if (firstByteNanos == 0) {
             firstByteNanos = System.nanoTime();
             onFirstByte.run();
         }
-        bytes.onNext(part);
+        bytes.onNext(buffers);
     }
 
     @Override
--- a/bench/src/main/java/org/tamaracktrack/bench/caller/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/package-info.java
@@ -1,2 +1,2 @@
-/** Sends requests as a caller would, and checks that answers are whole and the right ones. */
+/** Sends requests as callers do, and checks that answers are complete and belong to the request. */
 package org.tamaracktrack.bench.caller;
