--- a/bench/src/main/java/org/tamaracktrack/bench/report/Counts.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/report/Counts.java
@@ -1,42 +1,48 @@
 package org.tamaracktrack.bench.report;
 
 /**
- * What one row counts.
+ * Request and token counts of one row of a report.
  *
- * @param offered requests that came
- * @param whole requests answered whole, in time or late
- * @param refused requests that did not run
- * @param other requests that ended otherwise
- * @param answerTokens tokens of the answers; of a report also those of answers that broke off
+ * @param offered number of requests that were sent
+ * @param whole number of requests with a complete answer, within the limits of the class or late
+ * @param refused number of requests that did not run
+ * @param other number of requests that ended in another way
+ * @param answerTokens number of answer tokens; a report also counts tokens of answers that were cut
  */
 public record Counts(long offered, long whole, long refused, long other, long answerTokens) {
     static final Counts NONE = new Counts(0, 0, 0, 0, 0);
 
-    Counts plus(Counts more) {
+    Counts plus(Counts addend) {
         return new Counts(
-                offered + more.offered,
-                whole + more.whole,
-                refused + more.refused,
-                other + more.other,
-                answerTokens + more.answerTokens);
+                offered + addend.offered,
+                whole + addend.whole,
+                refused + addend.refused,
+                other + addend.other,
+                answerTokens + addend.answerTokens);
     }
 
-    static Counts of(ObservedRequest seen) {
-        return switch (seen.outcome()) {
-            case WHOLE -> new Counts(1, 1, 0, 0, seen.answerTokens());
+    static Counts of(ObservedRequest request) {
+        return switch (request.outcome()) {
+            case WHOLE -> new Counts(1, 1, 0, 0, request.answerTokens());
             case NOT_RUN -> new Counts(1, 0, 1, 0, 0);
             default -> new Counts(1, 0, 0, 1, 0);
         };
     }
 
-    /** Whether a report says the same; it may count tokens of broken answers besides. */
-    boolean agreesWith(Counts told) {
-        boolean tokens =
-                other == 0 ? answerTokens == told.answerTokens : answerTokens <= told.answerTokens;
-        return offered == told.offered
-                && whole == told.whole
-                && refused == told.refused
-                && other == told.other
-                && tokens;
+    /**
+     * Returns whether reported counts agree with these counts of the callers. The report may count
+     * additional answer tokens if there are requests in {@code other}, whose answers may have been
+     * cut.
+     */
+    boolean agreesWith(Counts reported) {
+        boolean tokensAgree =
+                other == 0
+                        ? answerTokens == reported.answerTokens
+                        : answerTokens <= reported.answerTokens;
+        return offered == reported.offered
+                && whole == reported.whole
+                && refused == reported.refused
+                && other == reported.other
+                && tokensAgree;
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/report/ObservedRequest.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/report/ObservedRequest.java
@@ -7,11 +7,11 @@
 import org.tamaracktrack.bench.caller.ServiceRequest;
 
 /**
- * One request as its caller knows it.
+ * Result of one request as observed by its caller, for comparison with a report.
  *
- * @param row where a report counts it
- * @param outcome what the caller got
- * @param answerTokens tokens of its answer, 0 without a whole one
+ * @param row the row of the report that counts the request
+ * @param outcome the outcome for the caller
+ * @param answerTokens the number of answer tokens, 0 unless the answer is complete
  */
 public record ObservedRequest(Row row, Outcome outcome, int answerTokens) {
 
@@ -22,38 +22,38 @@
     }
 
     /**
-     * A row of a report.
+     * Key of a row of a report.
      *
      * @param account the client account
-     * @param destination the model or service
+     * @param destination the name of the model or plain service
      * @param requestClass the request class
      */
     public record Row(String account, String destination, String requestClass) {}
 
     /**
-     * Returns a request to a model.
+     * Returns the result of a request to a model.
      *
      * @param request the request
-     * @param seen what the caller saw
-     * @return the request as its caller knows it
+     * @param observation what the caller observed
+     * @return the result
      */
-    public static ObservedRequest of(ModelRequest request, Observation seen) {
+    public static ObservedRequest of(ModelRequest request, Observation observation) {
         Row row = new Row(request.caller().account(), request.model(), request.requestClass());
-        boolean whole = seen.outcome() == Outcome.WHOLE;
-        return new ObservedRequest(row, seen.outcome(), whole ? request.tokens() : 0);
+        boolean whole = observation.outcome() == Outcome.WHOLE;
+        return new ObservedRequest(row, observation.outcome(), whole ? request.tokens() : 0);
     }
 
     /**
-     * Returns a call of a plain service.
+     * Returns the result of a request to a plain service.
      *
-     * @param request the call
-     * @param requestClass the account's default class
-     * @param seen what the caller saw
-     * @return the call as its caller knows it
+     * @param request the request
+     * @param requestClass the account's default request class
+     * @param observation what the caller observed
+     * @return the result
      */
     public static ObservedRequest of(
-            ServiceRequest request, String requestClass, Observation seen) {
+            ServiceRequest request, String requestClass, Observation observation) {
         Row row = new Row(request.caller().account(), request.service(), requestClass);
-        return new ObservedRequest(row, seen.outcome(), 0);
+        return new ObservedRequest(row, observation.outcome(), 0);
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/report/ReportCheck.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/report/ReportCheck.java
@@ -14,51 +14,54 @@
 import org.tamaracktrack.bench.stack.StackException;
 import org.tamaracktrack.link.codec.Codecs;
 
-/** Compares the operators' report with what callers saw, row by row. */
+/** Compares the operators' report with the results that callers observed, row by row. */
 public final class ReportCheck {
 
     private ReportCheck() {}
 
     /**
-     * Compares. The daemons should have published their last counters.
+     * Compares the report of a system with the requests that were sent to it. The daemons must have
+     * published their last counters before, for instance by stopping.
      *
      * @param stack the system
-     * @param seen every request that was sent to it
-     * @return the rows that differ, in words; empty when the report is true
+     * @param requests every request that was sent to the system
+     * @return a description of each row that differs; empty when the report is correct
      */
-    public static List<String> differences(LocalStack stack, Collection<ObservedRequest> seen) {
-        return differences(seen, reportedCounts(rows(stack, "report")));
+    public static List<String> differences(LocalStack stack, Collection<ObservedRequest> requests) {
+        return differences(requests, reportedCounts(rows(stack, "report")));
     }
 
     static List<String> differences(
-            Collection<ObservedRequest> seen, Map<ObservedRequest.Row, Counts> told) {
+            Collection<ObservedRequest> requests, Map<ObservedRequest.Row, Counts> reportedByRow) {
         Map<ObservedRequest.Row, Counts> expected =
-                seen.stream()
+                requests.stream()
                         .collect(Collectors.toMap(ObservedRequest::row, Counts::of, Counts::plus));
         Map<ObservedRequest.Row, String> differences =
                 new TreeMap<>(Comparator.comparing(ObservedRequest.Row::toString));
         expected.forEach(
                 (row, counts) -> {
-                    Counts reported = told.getOrDefault(row, Counts.NONE);
+                    Counts reported = reportedByRow.getOrDefault(row, Counts.NONE);
                     if (!counts.agreesWith(reported)) {
                         differences.put(
-                                row, row + ": callers saw " + counts + ", report " + reported);
+                                row,
+                                row + ": callers observed " + counts + ", reported " + reported);
                     }
                 });
-        told.forEach(
+        reportedByRow.forEach(
                 (row, counts) -> {
                     if (!expected.containsKey(row)) {
-                        differences.put(row, row + ": callers sent nothing, report " + counts);
+                        differences.put(
+                                row, row + ": callers sent no requests, reported " + counts);
                     }
                 });
         return List.copyOf(differences.values());
     }
 
     /**
-     * Returns the moves as the operators' tool tells them.
+     * Returns the numbers of moves that the operators' command-line tool reports.
      *
      * @param stack the system
-     * @return how many of each kind and cause
+     * @return the number of moves by {@code kind/cause}
      */
     public static Map<String, Long> moves(LocalStack stack) {
         return rows(stack, "moves").stream()
@@ -93,7 +96,7 @@
     private static long field(JsonNode row, String name) {
         JsonNode value = row.has(name) ? row.get(name) : row.get(name.replace(' ', '_'));
         if (value == null) {
-            throw StackException.of("no " + name + " in the report: " + row);
+            throw StackException.of("report row has no field " + name + ": " + row);
         }
         return value.asLong();
     }
@@ -108,8 +111,8 @@
             JsonNode rows =
                     Codecs.json().readTree(output.substring(output.indexOf('{'))).get("rows");
             return StreamSupport.stream(rows.spliterator(), false).toList();
-        } catch (IOException wrong) {
-            throw StackException.of(command + " gave no JSON: " + output, wrong);
+        } catch (IOException invalid) {
+            throw StackException.of(command + " did not print valid JSON: " + output, invalid);
         }
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/report/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/report/package-info.java
@@ -1,2 +1,2 @@
-/** Compares the operators' reports with what callers saw. */
+/** Compares the operators' reports with the results that callers observed. */
 package org.tamaracktrack.bench.report;
--- a/bench/src/test/java/org/tamaracktrack/bench/report/ReportCheckTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/report/ReportCheckTest.java
@@ -25,8 +25,8 @@
     void shouldAllowTokensOfBrokenAnswersOnlyWhenAnAnswerBroke() {
         assertThat(ReportCheck.differences(REQUESTS, Map.of(ROW, new Counts(3, 1, 1, 1, 12))))
                 .isEmpty();
-        List<ObservedRequest> whole = REQUESTS.subList(0, 1);
-        assertThat(ReportCheck.differences(whole, Map.of(ROW, new Counts(1, 1, 0, 0, 12))))
+        List<ObservedRequest> wholeOnly = REQUESTS.subList(0, 1);
+        assertThat(ReportCheck.differences(wholeOnly, Map.of(ROW, new Counts(1, 1, 0, 0, 12))))
                 .hasSize(1);
     }
 
