--- a/bench/src/main/java/org/tamaracktrack/bench/local/LocalRun.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/local/LocalRun.java
@@ -21,7 +21,10 @@
 import org.tamaracktrack.bench.stack.SampleAccounts;
 import org.tamaracktrack.bench.stack.StackPlan;
 
-/** Starts the sample system, and either stays or tries everything once. */
+/**
+ * Starts the sample system on one host, and either keeps it running or sends each kind of request
+ * once and checks answers, reports and stops.
+ */
 public final class LocalRun {
     private static final int STREAMED_TOKENS = 12;
 
@@ -39,7 +42,7 @@
      * Returns a run.
      *
      * @param root the directory of the project
-     * @param out where to print
+     * @param out the stream to print to
      * @return the run
      */
     public static LocalRun of(Path root, PrintStream out) {
@@ -49,11 +52,12 @@
     }
 
     /**
-     * Runs it.
+     * Starts the system and keeps it running, or checks it once and stops it.
      *
-     * @param once whether to try everything and stop; otherwise it stays until interrupted
-     * @return the exit status: 0 when every answer was whole and its own, the reports true and
-     *     every stop graceful
+     * @param once whether to check the system once and stop; otherwise it runs until interrupted
+     * @return the exit status: 0 when every answer was complete and belonged to its request, the
+     *     reports could be read and agreed with the answers, no order overcommitted memory and
+     *     every daemon stopped with status 0; otherwise 1
      */
     public int run(boolean once) {
         out.println("Starting stand-ins, two entry daemons and four target daemons ...");
@@ -63,14 +67,19 @@
                 waitForInterrupt();
                 return 0;
             }
-            boolean answered = sendAllRequests(stack);
-            boolean reported = printReports(stack);
-            boolean graceful = stop(stack);
-            boolean fitted = checkMemory(stack);
-            boolean told = checkReport(stack);
-            boolean good = answered && reported && graceful && fitted && told;
-            out.println(good ? "All well." : "NOT all well.");
-            return good ? 0 : 1;
+            boolean answersWhole = sendAllRequests(stack);
+            boolean reportsPrinted = printReports(stack);
+            boolean stoppedGracefully = stop(stack);
+            boolean memoryWithinLimits = checkMemory(stack);
+            boolean reportCorrect = checkReport(stack);
+            boolean passed =
+                    answersWhole
+                            && reportsPrinted
+                            && stoppedGracefully
+                            && memoryWithinLimits
+                            && reportCorrect;
+            out.println(passed ? "All well." : "NOT all well.");
+            return passed ? 0 : 1;
         }
     }
 
@@ -98,18 +107,24 @@
     }
 
     private boolean sendAllRequests(LocalStack stack) {
-        List<Boolean> good = new ArrayList<>();
+        List<Boolean> results = new ArrayList<>();
         stack.entries()
                 .forEach(
                         entry -> {
                             String address = entry.httpAddress();
                             String prompt = "Request through " + entry.program().name();
                             modelRequests(prompt)
-                                    .forEach(r -> good.add(sendModelRequest(address, r)));
+                                    .forEach(
+                                            request ->
+                                                    results.add(
+                                                            sendModelRequest(address, request)));
                             serviceRequests(prompt)
-                                    .forEach(call -> good.add(sendServiceRequest(address, call)));
+                                    .forEach(
+                                            request ->
+                                                    results.add(
+                                                            sendServiceRequest(address, request)));
                         });
-        return good.stream().allMatch(Boolean::booleanValue);
+        return results.stream().allMatch(Boolean::booleanValue);
     }
 
     private static List<ModelRequest> modelRequests(String prompt) {
@@ -136,29 +151,30 @@
     }
 
     private boolean sendModelRequest(String address, ModelRequest request) {
-        Observation seen = caller.send(address, request).join();
+        Observation observation = caller.send(address, request).join();
         String adapter = request.adapter().map(name -> "+" + name).orElse("");
-        print(request.caller(), request.model() + adapter, seen);
-        observedRequests.add(ObservedRequest.of(request, seen));
-        return seen.outcome() == Outcome.WHOLE;
+        print(request.caller(), request.model() + adapter, observation);
+        observedRequests.add(ObservedRequest.of(request, observation));
+        return observation.outcome() == Outcome.WHOLE;
     }
 
     private boolean sendServiceRequest(String address, ServiceRequest request) {
-        Observation seen = caller.send(address, request).join();
-        print(request.caller(), request.method() + " " + request.service(), seen);
-        observedRequests.add(ObservedRequest.of(request, SampleAccounts.DEFAULT_CLASS, seen));
-        return seen.outcome() == Outcome.WHOLE;
+        Observation observation = caller.send(address, request).join();
+        print(request.caller(), request.method() + " " + request.service(), observation);
+        observedRequests.add(
+                ObservedRequest.of(request, SampleAccounts.DEFAULT_CLASS, observation));
+        return observation.outcome() == Outcome.WHOLE;
     }
 
-    private void print(CallerKey account, String what, Observation seen) {
+    private void print(CallerKey callerKey, String destination, Observation observation) {
         out.printf(
                 "%-13s %-26s %-12s %s %s %.1f ms%n",
-                account.account(),
-                what,
-                seen.outcome(),
-                seen.status(),
-                seen.code(),
-                seen.totalMillis());
+                callerKey.account(),
+                destination,
+                observation.outcome(),
+                observation.status(),
+                observation.code(),
+                observation.totalMillis());
     }
 
     private boolean printReports(LocalStack stack) {
--- a/bench/src/main/java/org/tamaracktrack/bench/local/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/local/package-info.java
@@ -1,2 +1,2 @@
-/** The command that shows the whole system at work. */
+/** Contains the command that runs the whole sample system on one host. */
 package org.tamaracktrack.bench.local;
