--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/ExchangeAssertions.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/ExchangeAssertions.java
@@ -8,29 +8,29 @@
 import org.tamaracktrack.bench.stack.LocalStack;
 import org.tamaracktrack.bench.stack.RunCounts;
 
-/** What must hold of every exchange, whatever failed meanwhile. */
+/** Assertions that must hold for every exchange, whichever component failed during it. */
 final class ExchangeAssertions {
     private ExchangeAssertions() {}
 
     static void assertGuaranteesHold(LocalStack stack, List<SteadyLoad.Exchange> exchanges) {
-        RunCounts runs = RunCounts.of(stack);
-        exchanges.forEach(exchange -> assertGuaranteesHold(runs, exchange));
+        RunCounts runCounts = RunCounts.of(stack);
+        exchanges.forEach(exchange -> assertGuaranteesHold(runCounts, exchange));
         assertNoOvercommit(stack);
     }
 
-    private static void assertGuaranteesHold(RunCounts runs, SteadyLoad.Exchange exchange) {
-        int ran = runs.runsOf(exchange.request().promptHash());
+    private static void assertGuaranteesHold(RunCounts runCounts, SteadyLoad.Exchange exchange) {
+        int runCount = runCounts.runsOf(exchange.request().promptHash());
         assertWithMessage("%s", exchange)
                 .that(exchange.observation().outcome())
                 .isNotEqualTo(Outcome.WRONG);
         if (exchange.observation().outcome() == Outcome.NOT_RUN) {
-            assertWithMessage("runs of a request said not to have run: %s", exchange)
-                    .that(ran)
+            assertWithMessage("runs of a request that was reported as not run: %s", exchange)
+                    .that(runCount)
                     .isEqualTo(0);
         }
         if (!exchange.request().idempotent()) {
             assertWithMessage("runs of a non-idempotent request: %s", exchange)
-                    .that(ran)
+                    .that(runCount)
                     .isAtMost(1);
         }
     }
@@ -39,7 +39,7 @@
         stack.engines()
                 .forEach(
                         (name, engine) ->
-                                assertWithMessage("overcommits of %s", name)
+                                assertWithMessage("memory overcommits of %s", name)
                                         .that(
                                                 engine.getControl("/control/state")
                                                         .get("overcommits")
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/FencingTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/FencingTest.java
@@ -48,21 +48,24 @@
 
     @Test
     void shouldNeverOvercommitWhenAnEngineIgnoresFencing(LocalStack stack) throws Exception {
-        // Operators publish new versions of all models. The engine does not look at fencing
-        // numbers and its orders come late; the target daemon is killed between order and
-        // effect. Its successor sees free memory in the inventory, and would fill it just before
-        // the late order does, if it did not reserve memory for what its predecessor may have
-        // sent.
+        // Guards against memory overcommit by delayed orders. The engine doesn't check fencing
+        // numbers and executes orders 1.5 s late. New model versions are published, and the target
+        // daemon is killed while an order is in transit. Its successor sees free memory in the
+        // inventory and would overcommit it if it didn't reserve memory for orders that its
+        // predecessor may have sent.
         StandInProcess engine = stack.standIn("engine-3");
         engine.putControl("/control/orders", "{\"lose\":0,\"delayMillis\":1500,\"double\":0}");
         publish(stack, Map.of("version: \"1\", memoryMebibytes: 8192", modelVersionText("2")));
-        for (int kill = 0; kill < 3; kill++) {
-            Waiting.until("an order is on its way", TIMEOUT, () -> hasOrderInTransit(engine));
+        for (int round = 0; round < 3; round++) {
+            Waiting.until("an order is in transit", TIMEOUT, () -> hasOrderInTransit(engine));
             stack.target("engine-3").program().kill();
             stack.restartTarget("engine-3");
         }
         engine.putControl("/control/orders", "{\"lose\":0,\"delayMillis\":0,\"double\":0}");
-        Waiting.until("the new versions are there", TIMEOUT, () -> holdsOnlyVersion(engine, "2"));
+        Waiting.until(
+                "the engine holds only the new versions",
+                TIMEOUT,
+                () -> holdsOnlyVersion(engine, "2"));
         ExchangeAssertions.assertNoOvercommit(stack);
         publish(stack, Map.of());
     }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/LogOutageTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/LogOutageTest.java
@@ -37,28 +37,31 @@
 
     @Test
     void shouldKeepServingAndStartANewEntryDaemonWhenTheLogIsUnavailable(LocalStack stack) {
-        // Callers see nothing of an outage of the log. During it an entry daemon is killed and
-        // replaced; the new one can read neither configuration nor targets from the log, and
-        // has them from its peer.
+        // Guards against a log outage that affects callers. An entry daemon is killed and replaced
+        // during the outage; the new one can't read configuration and targets from the log and gets
+        // them from its peer.
         stack.log().putControl("/control/outage", "{\"on\":true}");
         assertEveryModelAnswers(stack.entry(0).httpAddress());
         stack.entry(0).program().kill();
-        DaemonProcess newcomer = stack.restartEntry(0);
-        Waiting.until("the newcomer is ready", TIMEOUT, newcomer::ready);
-        ModelRequest first =
+        DaemonProcess newDaemon = stack.restartEntry(0);
+        Waiting.until("the new entry daemon is ready", TIMEOUT, newDaemon::ready);
+        ModelRequest firstRequest =
                 SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt()).get(0);
         Waiting.until(
-                "the newcomer serves",
+                "the new entry daemon serves",
                 TIMEOUT,
-                () -> caller.send(newcomer.httpAddress(), first).join().outcome() == Outcome.WHOLE);
-        assertEveryModelAnswers(newcomer.httpAddress());
+                () ->
+                        caller.send(newDaemon.httpAddress(), firstRequest).join().outcome()
+                                == Outcome.WHOLE);
+        assertEveryModelAnswers(newDaemon.httpAddress());
     }
 
     @Test
     void shouldRefuseRequestsWithIdempotencyKeysWhenTheLogIsUnavailable(LocalStack stack) {
-        // A call that may not be repeated needs its key claimed in the log. While the log is out
-        // nobody can know whether the key was used elsewhere, so the call is refused, not run,
-        // and the same key may be tried again later.
+        // Guards against a repeated run of a request with an idempotency key. Its key must be
+        // claimed
+        // in the log; while the log is unavailable, no daemon can determine whether the key is in
+        // use elsewhere, so the request is refused without a run. The key can be used later.
         stack.log().putControl("/control/outage", "{\"on\":true}");
         ModelRequest request =
                 SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt())
@@ -69,7 +72,7 @@
         assertThat(RunCounts.of(stack).runsOf(request.promptHash())).isEqualTo(0);
         stack.log().putControl("/control/outage", "{\"on\":false}");
         Waiting.until(
-                "the key is taken",
+                "the request with the key is answered",
                 TIMEOUT,
                 () ->
                         List.of(Outcome.WHOLE)
@@ -82,9 +85,12 @@
 
     @Test
     void shouldServeAgainWhenTheLogIsAvailableAfterATargetDaemonRestart(LocalStack stack) {
-        // A target daemon is killed and replaced while the log is out, so the new one can't take
-        // its target and must not act for it; its models are unreachable or served elsewhere.
-        // When the log is back it takes the target and serves.
+        // Guards against a target daemon that acts without ownership of its target. It is killed
+        // and
+        // replaced while the log is unavailable, so the new one can't take ownership; its models
+        // are
+        // unavailable or served by other targets. Once the log is available again, it takes
+        // ownership and serves.
         stack.log().putControl("/control/outage", "{\"on\":true}");
         stack.target("engine-3").program().kill();
         stack.restartTarget("engine-3");
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/PlannedStopTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/PlannedStopTest.java
@@ -28,7 +28,10 @@
 
     private final Caller caller = Caller.of();
 
-    /** Starts a long stream to every model through every entry, and waits until all have begun. */
+    /**
+     * Starts a long stream from every model through every entry daemon, and waits until each stream
+     * has returned its first byte.
+     */
     private List<CompletableFuture<Observation>> startLongStreams(LocalStack stack)
             throws Exception {
         List<ModelRequest> requests =
@@ -38,7 +41,8 @@
                                         request.streamed(LONG_STREAM_TOKENS)
                                                 .withRequestClass("batch"))
                         .toList();
-        CountDownLatch begun = new CountDownLatch(requests.size() * stack.entries().size());
+        CountDownLatch startedStreams =
+                new CountDownLatch(requests.size() * stack.entries().size());
         List<CompletableFuture<Observation>> streams = new ArrayList<>();
         stack.entries()
                 .forEach(
@@ -49,8 +53,8 @@
                                                         caller.send(
                                                                 entry.httpAddress(),
                                                                 request,
-                                                                begun::countDown))));
-        assertThat(begun.await(30, TimeUnit.SECONDS)).isTrue();
+                                                                startedStreams::countDown))));
+        assertThat(startedStreams.await(30, TimeUnit.SECONDS)).isTrue();
         return streams;
     }
 
@@ -68,23 +72,25 @@
 
     @Test
     void shouldCutNoStreamWhenATargetDaemonStops(LocalStack stack) throws Exception {
-        // Long streams run at every engine when one target daemon gets SIGTERM. It announces
-        // that it leaves, takes nothing new, and ends only when its last stream has ended.
+        // Guards against streams that are cut by a planned stop. Every engine serves long streams
+        // when one target daemon receives SIGTERM. It must announce that it is leaving, accept no
+        // new requests and exit only after its last stream has ended.
         assertNoStreamCut(stack, stack.target("engine-1").program());
     }
 
     @Test
     void shouldCutNoStreamWhenAnEntryDaemonStops(LocalStack stack) throws Exception {
-        // Long streams run through both entry daemons when one gets SIGTERM. It fails readiness,
-        // goes on for as long as the balancer may lag, and ends only with its last stream.
+        // Guards against streams that are cut by a planned stop. Both entry daemons forward long
+        // streams when one receives SIGTERM. It must fail its readiness check, keep serving for the
+        // configured balancer lag and exit only after its last stream has ended.
         assertNoStreamCut(stack, stack.entry(0).program());
     }
 
     @Test
     void shouldCutNoStreamWhenAnEntryAndATargetDaemonStopTogether(LocalStack stack)
             throws Exception {
-        // An entry daemon and a target daemon get SIGTERM together, with streams between just
-        // these two; neither may take the other's leaving as a reason to end early.
+        // An entry daemon and a target daemon receive SIGTERM together while streams run between
+        // them; neither may exit early because the other is leaving.
         assertNoStreamCut(stack, stack.entry(1).program(), stack.target("engine-2").program());
     }
 }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/ProcessFailureTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/ProcessFailureTest.java
@@ -48,10 +48,11 @@
     class TargetDaemons {
         @Test
         void shouldKeepRunGuaranteesWhenOneIsKilled(LocalStack stack) {
-            // Callers of the killed daemon's models see an answer from another copy, or an error
-            // that says whether the request ran. The daemon dies by SIGKILL with requests in its
-            // queue and at its engine; a new one takes the target over with a higher fencing
-            // number while the engine may still work for the old one.
+            // Guards against wrong answers, repeated runs of non-idempotent requests and false
+            // reports that a request did not run. The daemon is killed by SIGKILL with requests in
+            // its queue and at its engine; a new one takes over the target with a higher fencing
+            // number while the engine may still run requests of the old one. Callers get an answer
+            // from another replica, or an error that states whether the request ran.
             SteadyLoad load = startLoad(stack);
             load.await(50, isWhole());
             stack.target("engine-1").program().kill();
@@ -64,9 +65,10 @@
 
         @Test
         void shouldKeepRunGuaranteesWhenOneIsPaused(LocalStack stack) {
-            // Callers wait, or get an error that says whether the request ran. The daemon stands
-            // still by SIGSTOP with its connections open, so nothing tells the entry daemons but
-            // silence; when it goes on, it answers requests that have been given up on.
+            // Guards against wrong answers, repeated runs and false reports when a daemon hangs. It
+            // is suspended by SIGSTOP with its connections open, so the entry daemons can detect it
+            // only by missing messages; when it resumes, it answers requests that they have
+            // abandoned. Callers wait, or get an error that states whether the request ran.
             SteadyLoad load = startLoad(stack);
             load.await(50, isWhole());
             stack.target("engine-2").program().pause();
@@ -81,8 +83,9 @@
     class EntryDaemons {
         @Test
         void shouldNotAffectCallersOfTheOtherWhenOneIsKilled(LocalStack stack) {
-            // Callers of the killed daemon see their connections break; those of the other see
-            // nothing. The targets find a connection closed and cancel or finish what came by it.
+            // Guards against the effects of a killed entry daemon on callers of another one. Only
+            // connections to the killed daemon break. The targets detect the closed connection and
+            // cancel or finish the requests that they received through it.
             String other = stack.entry(1).httpAddress();
             SteadyLoad load = startLoad(stack);
             load.await(50, isWhole());
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/ReportAccuracyTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/ReportAccuracyTest.java
@@ -35,10 +35,10 @@
 
     @Test
     void shouldReportWhatCallersObservedWhenATargetDaemonIsKilledAndTheLogIsUnavailable() {
-        // Callers get whole answers, refusals and errors while a target daemon is killed and
-        // replaced and the log is out for a while. Counters can't be written in the outage and
-        // some appends are repeated after it; in the end the report has to say, row by row, what
-        // the callers saw, neither more nor less.
+        // Guards against lost or doubled counts in the report. Callers get complete answers,
+        // refusals and errors while the log has an outage and a target daemon is killed and
+        // replaced. Counters can't be written during the outage and some appends are repeated after
+        // it; the final report must agree with the callers' results in every row.
         StackPlan plan = StackPlan.sample(Path.of(".."), Path.of("target", "stack-report"));
         try (LocalStack stack = LocalStack.start(plan)) {
             List<String> addresses =
@@ -55,7 +55,7 @@
             stack.restartTarget("engine-1");
             stack.awaitReady();
             awaitWholeAnswers(load, 50);
-            List<ObservedRequest> seen =
+            List<ObservedRequest> observedRequests =
                     load.stop().stream()
                             .map(
                                     exchange ->
@@ -64,7 +64,7 @@
                             .toList();
             Map<String, Integer> statuses = stack.stopDaemons();
             assertThat(statuses.values()).containsNoneIn(List.of(1, 2, 3, 137, 143));
-            assertThat(ReportCheck.differences(stack, seen)).isEmpty();
+            assertThat(ReportCheck.differences(stack, observedRequests)).isEmpty();
         }
     }
 }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/RequestPathTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/RequestPathTest.java
@@ -41,13 +41,19 @@
                             entry ->
                                     SampleAccounts.requestsToEveryModel(
                                                     SharedStackExtension.newPrompt())
-                                            .forEach(r -> assertWhole(entry.httpAddress(), r)));
+                                            .forEach(
+                                                    request ->
+                                                            assertWhole(
+                                                                    entry.httpAddress(), request)));
         }
 
         @Test
         void shouldStreamEveryModelToTheEnd(LocalStack stack) {
             SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt())
-                    .forEach(r -> assertWhole(stack.entry(0).httpAddress(), r.streamed(30)));
+                    .forEach(
+                            request ->
+                                    assertWhole(
+                                            stack.entry(0).httpAddress(), request.streamed(30)));
         }
 
         @Test
@@ -68,9 +74,9 @@
                             SampleAccounts.CEVALLOS,
                             "history-writer",
                             SharedStackExtension.newPrompt());
-            Observation seen = caller.send(stack.entry(0).httpAddress(), request).join();
-            assertThat(seen.outcome()).isEqualTo(Outcome.NOT_RUN);
-            assertThat(seen.code()).isEqualTo("UNKNOWN_MODEL");
+            Observation observation = caller.send(stack.entry(0).httpAddress(), request).join();
+            assertThat(observation.outcome()).isEqualTo(Outcome.NOT_RUN);
+            assertThat(observation.code()).isEqualTo("UNKNOWN_MODEL");
         }
 
         @Test
@@ -80,8 +86,8 @@
                             new CallerKey("cevallos", "wrong"),
                             "order-reader",
                             SharedStackExtension.newPrompt());
-            Observation seen = caller.send(stack.entry(0).httpAddress(), request).join();
-            assertThat(seen.status()).isEqualTo(401);
+            Observation observation = caller.send(stack.entry(0).httpAddress(), request).join();
+            assertThat(observation.status()).isEqualTo(401);
         }
     }
 
@@ -96,7 +102,7 @@
                                         method.equals("GET")
                                                 ? ""
                                                 : SharedStackExtension.newPrompt();
-                                ServiceRequest call =
+                                ServiceRequest request =
                                         SampleAccounts.serviceRequest(
                                                 SampleAccounts.KTIMATOLOGOS,
                                                 method,
@@ -104,7 +110,7 @@
                                                 Optional.empty());
                                 String address = stack.entry(0).httpAddress();
                                 assertWithMessage(method)
-                                        .that(caller.send(address, call).join().outcome())
+                                        .that(caller.send(address, request).join().outcome())
                                         .isEqualTo(Outcome.WHOLE);
                             });
         }
@@ -114,33 +120,38 @@
     class IdempotencyKeys {
         @Test
         void shouldRunOnceWhenTwoEntryDaemonsReceiveTheSameKeyConcurrently(LocalStack stack) {
-            // A caller's library repeats a call through the balancer while the first attempt is
-            // still under way, so both entry daemons hold the same key at the same time. The
-            // first claim in the log wins; the other call is told so and is not run.
+            // Guards against two runs of a request with an idempotency key. A client library
+            // retries
+            // a request through the balancer while the first attempt is in progress, so both entry
+            // daemons hold the same key concurrently. The first claim in the log wins; the other
+            // request is refused and not run.
             IntStream.range(0, 10).forEach(round -> assertRunsOnce(stack, "key-" + round));
         }
 
         private void assertRunsOnce(LocalStack stack, String key) {
-            ServiceRequest call =
+            ServiceRequest request =
                     SampleAccounts.serviceRequest(
                             SampleAccounts.CEVALLOS,
                             "POST",
                             SharedStackExtension.newPrompt(),
                             Optional.of(key));
-            List<Observation> seen =
+            List<Observation> observations =
                     stack.entries().stream()
-                            .map(entry -> caller.send(entry.httpAddress(), call))
+                            .map(entry -> caller.send(entry.httpAddress(), request))
                             .toList()
                             .stream()
                             .map(future -> future.join())
                             .toList();
-            assertThat(RunCounts.of(stack).runsOf(Sha256.hex(call.body()))).isEqualTo(1);
-            assertWithMessage("%s", seen)
-                    .that(seen.stream().filter(s -> s.outcome() == Outcome.WHOLE).count())
+            assertThat(RunCounts.of(stack).runsOf(Sha256.hex(request.body()))).isEqualTo(1);
+            assertWithMessage("%s", observations)
+                    .that(
+                            observations.stream()
+                                    .filter(answer -> answer.outcome() == Outcome.WHOLE)
+                                    .count())
                     .isEqualTo(1);
             assertThat(
-                            seen.stream()
-                                    .filter(s -> s.outcome() != Outcome.WHOLE)
+                            observations.stream()
+                                    .filter(answer -> answer.outcome() != Outcome.WHOLE)
                                     .map(Observation::code)
                                     .toList())
                     .containsAnyOf("KEY_IN_USE", "KEY_ALREADY_RAN");
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/SharedStackExtension.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/SharedStackExtension.java
@@ -11,7 +11,10 @@
 import org.tamaracktrack.bench.stack.SampleAccounts;
 import org.tamaracktrack.bench.stack.StackPlan;
 
-/** One sample system for all end-to-end tests, healed after each. */
+/**
+ * Provides one running sample system to all end-to-end tests. After each test it ends simulated
+ * faults, resumes or restarts daemons and waits until every model answers.
+ */
 final class SharedStackExtension implements ParameterResolver, AfterEachCallback {
     private static final Duration RECOVERY_TIMEOUT = Duration.ofSeconds(40);
     private static final AtomicInteger PROMPT_COUNT = new AtomicInteger();
