--- a/bench/src/main/java/org/tamaracktrack/bench/caller/Caller.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/caller/Caller.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiFunction;
 
-/** Sends requests and checks what comes back. Safe for use by several threads. */
+/** Sends requests and checks the answers. Instances are thread-safe. */
 public final class Caller {
-    private static final Duration CONNECT_LIMIT = Duration.ofSeconds(5);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
 
     private final HttpClient client;
 
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Returns a caller.
+     * Returns a caller with an HTTP client of its own.
      *
      * @return the caller
      */
@@ -27,28 +27,28 @@
         return new Caller(
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT_LIMIT)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .build());
     }
 
     /**
      * Sends a request to a model.
      *
-     * @param address IP number and port of the server
+     * @param address IP address and port of the entry daemon or engine
      * @param request the request
-     * @return what the caller saw
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> send(String address, ModelRequest request) {
         return send(address, request, () -> {});
     }
 
     /**
-     * Sends a request to a model.
+     * Sends a request to a model and reports the first byte of the answer.
      *
-     * @param address IP number and port of the server
+     * @param address IP address and port of the entry daemon or engine
      * @param request the request
-     * @param onFirstByte runs when the first byte of the body has come
-     * @return what the caller saw
+     * @param onFirstByte runs when the first bytes of the body are received
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> send(
             String address, ModelRequest request, Runnable onFirstByte) {
@@ -60,11 +60,11 @@
     }
 
     /**
-     * Calls a plain service.
+     * Sends a request to a plain service through an entry daemon.
      *
-     * @param address IP number and port of the server
-     * @param request the call
-     * @return what the caller saw
+     * @param address IP address and port of the entry daemon
+     * @param request the request
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> send(String address, ServiceRequest request) {
         Objects.requireNonNull(request, "request is null");
@@ -75,11 +75,11 @@
     }
 
     /**
-     * Calls a plain service itself, without the system between.
+     * Sends a request directly to a plain service, bypassing the daemons.
      *
-     * @param address IP number and port of the service
-     * @param request the call
-     * @return what the caller saw
+     * @param address IP address and port of the service
+     * @param request the request
+     * @return completes with the observation, also when the connection fails
      */
     public CompletableFuture<Observation> sendDirect(String address, ServiceRequest request) {
         Objects.requireNonNull(request, "request is null");
@@ -92,28 +92,28 @@
     private CompletableFuture<Observation> send(
             HttpRequest request, Runnable onFirstByte, BiFunction<Integer, byte[], Outcome> check) {
         long start = System.nanoTime();
-        return client.sendAsync(request, head -> new TimedBody(onFirstByte))
+        return client.sendAsync(request, responseInfo -> new TimedBody(onFirstByte))
                 .handle(
                         (answer, failure) ->
                                 failure == null
-                                        ? answered(start, answer, check)
-                                        : broken(start, failure));
+                                        ? observeAnswer(start, answer, check)
+                                        : observeFailure(start, failure));
     }
 
-    private static Observation answered(
+    private static Observation observeAnswer(
             long start,
             HttpResponse<TimedBody.Body> answer,
             BiFunction<Integer, byte[], Outcome> check) {
         long end = System.nanoTime();
         byte[] body = answer.body().bytes();
         Outcome outcome = check.apply(answer.statusCode(), body);
-        String code = outcome == Outcome.WHOLE ? "" : AnswerCheck.code(body);
+        String code = outcome == Outcome.WHOLE ? "" : AnswerCheck.errorCode(body);
         long firstByte = answer.body().firstByteNanos();
         return new Observation(
                 outcome, answer.statusCode(), code, start, firstByte == 0 ? end : firstByte, end);
     }
 
-    private static Observation broken(long start, Throwable failure) {
+    private static Observation observeFailure(long start, Throwable failure) {
         Throwable cause = failure.getCause() == null ? failure : failure.getCause();
         long end = System.nanoTime();
         String code = cause.getClass().getSimpleName();
--- a/bench/src/main/java/org/tamaracktrack/bench/local/LocalRun.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/local/LocalRun.java
@@ -14,21 +14,24 @@
 import org.tamaracktrack.bench.caller.Observation;
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.ServiceRequest;
+import org.tamaracktrack.bench.report.ObservedRequest;
 import org.tamaracktrack.bench.report.ReportCheck;
-import org.tamaracktrack.bench.report.Seen;
 import org.tamaracktrack.bench.stack.CommandResult;
 import org.tamaracktrack.bench.stack.LocalStack;
 import org.tamaracktrack.bench.stack.SampleAccounts;
 import org.tamaracktrack.bench.stack.StackPlan;
 
-/** Starts the sample system, and either stays or tries everything once. */
+/**
+ * Starts the sample system on one host, and either keeps it running or sends each kind of request
+ * once and checks answers, reports and stops.
+ */
 public final class LocalRun {
     private static final int STREAMED_TOKENS = 12;
 
     private final Path root;
     private final PrintStream out;
     private final Caller caller = Caller.of();
-    private final List<Seen> sent = new ArrayList<>();
+    private final List<ObservedRequest> observedRequests = new ArrayList<>();
 
     private LocalRun(Path root, PrintStream out) {
         this.root = root;
@@ -39,7 +42,7 @@
      * Returns a run.
      *
      * @param root the directory of the project
-     * @param out where to print
+     * @param out the stream to print to
      * @return the run
      */
     public static LocalRun of(Path root, PrintStream out) {
@@ -49,28 +52,34 @@
     }
 
     /**
-     * Runs it.
+     * Starts the system and keeps it running, or checks it once and stops it.
      *
-     * @param once whether to try everything and stop; otherwise it stays until interrupted
-     * @return the exit status: 0 when every answer was whole and its own, the reports true and
-     *     every stop graceful
+     * @param once whether to check the system once and stop; otherwise it runs until interrupted
+     * @return the exit status: 0 when every answer was complete and belonged to its request, the
+     *     reports could be read and agreed with the answers, no order overcommitted memory and
+     *     every daemon stopped with status 0; otherwise 1
      */
     public int run(boolean once) {
         out.println("Starting stand-ins, two entry daemons and four target daemons ...");
         try (LocalStack stack = LocalStack.start(StackPlan.sample(root, root.resolve(".local")))) {
             printAddresses(stack);
             if (!once) {
-                stay();
+                waitForInterrupt();
                 return 0;
             }
-            boolean answered = tryEverything(stack);
-            boolean reported = printReports(stack);
-            boolean graceful = stop(stack);
-            boolean fitted = checkMemory(stack);
-            boolean told = checkReport(stack);
-            boolean good = answered && reported && graceful && fitted && told;
-            out.println(good ? "All well." : "NOT all well.");
-            return good ? 0 : 1;
+            boolean answersWhole = sendAllRequests(stack);
+            boolean reportsPrinted = printReports(stack);
+            boolean stoppedGracefully = stop(stack);
+            boolean memoryWithinLimits = checkMemory(stack);
+            boolean reportCorrect = checkReport(stack);
+            boolean passed =
+                    answersWhole
+                            && reportsPrinted
+                            && stoppedGracefully
+                            && memoryWithinLimits
+                            && reportCorrect;
+            out.println(passed ? "All well." : "NOT all well.");
+            return passed ? 0 : 1;
         }
     }
 
@@ -88,7 +97,7 @@
         out.println();
     }
 
-    private void stay() {
+    private void waitForInterrupt() {
         out.println("Running until interrupted (Ctrl-C).");
         try {
             new CountDownLatch(1).await();
@@ -97,22 +106,30 @@
         }
     }
 
-    private boolean tryEverything(LocalStack stack) {
-        List<Boolean> good = new ArrayList<>();
+    private boolean sendAllRequests(LocalStack stack) {
+        List<Boolean> results = new ArrayList<>();
         stack.entries()
                 .forEach(
                         entry -> {
                             String address = entry.httpAddress();
                             String prompt = "Request through " + entry.program().name();
-                            requests(prompt).forEach(r -> good.add(tryModel(address, r)));
-                            calls(prompt).forEach(call -> good.add(tryService(address, call)));
+                            modelRequests(prompt)
+                                    .forEach(
+                                            request ->
+                                                    results.add(
+                                                            sendModelRequest(address, request)));
+                            serviceRequests(prompt)
+                                    .forEach(
+                                            request ->
+                                                    results.add(
+                                                            sendServiceRequest(address, request)));
                         });
-        return good.stream().allMatch(Boolean::booleanValue);
+        return results.stream().allMatch(Boolean::booleanValue);
     }
 
-    private static List<ModelRequest> requests(String prompt) {
-        List<ModelRequest> requests = new ArrayList<>(SampleAccounts.toEveryModel(prompt));
-        SampleAccounts.toEveryModel(prompt + ", streamed").stream()
+    private static List<ModelRequest> modelRequests(String prompt) {
+        List<ModelRequest> requests = new ArrayList<>(SampleAccounts.requestsToEveryModel(prompt));
+        SampleAccounts.requestsToEveryModel(prompt + ", streamed").stream()
                 .map(request -> request.streamed(STREAMED_TOKENS))
                 .forEach(requests::add);
         requests.add(
@@ -120,42 +137,44 @@
                         .withAdapter("quito-north"));
         requests.add(
                 ModelRequest.of(SampleAccounts.CEVALLOS, "note-writer", prompt + ", once")
-                        .once(Optional.of("key of " + prompt)));
+                        .nonIdempotent(Optional.of("key of " + prompt)));
         return requests;
     }
 
-    private static List<ServiceRequest> calls(String prompt) {
+    private static List<ServiceRequest> serviceRequests(String prompt) {
         CallerKey caller = SampleAccounts.KTIMATOLOGOS;
         return List.of(
-                SampleAccounts.toService(caller, "GET", "", Optional.empty()),
-                SampleAccounts.toService(caller, "POST", prompt, Optional.empty()),
-                SampleAccounts.toService(caller, "POST", prompt, Optional.of("key of " + prompt)));
+                SampleAccounts.serviceRequest(caller, "GET", "", Optional.empty()),
+                SampleAccounts.serviceRequest(caller, "POST", prompt, Optional.empty()),
+                SampleAccounts.serviceRequest(
+                        caller, "POST", prompt, Optional.of("key of " + prompt)));
     }
 
-    private boolean tryModel(String address, ModelRequest request) {
-        Observation seen = caller.send(address, request).join();
+    private boolean sendModelRequest(String address, ModelRequest request) {
+        Observation observation = caller.send(address, request).join();
         String adapter = request.adapter().map(name -> "+" + name).orElse("");
-        print(request.caller(), request.model() + adapter, seen);
-        sent.add(Seen.of(request, seen));
-        return seen.outcome() == Outcome.WHOLE;
+        print(request.caller(), request.model() + adapter, observation);
+        observedRequests.add(ObservedRequest.of(request, observation));
+        return observation.outcome() == Outcome.WHOLE;
     }
 
-    private boolean tryService(String address, ServiceRequest request) {
-        Observation seen = caller.send(address, request).join();
-        print(request.caller(), request.method() + " " + request.service(), seen);
-        sent.add(Seen.of(request, SampleAccounts.DEFAULT_CLASS, seen));
-        return seen.outcome() == Outcome.WHOLE;
+    private boolean sendServiceRequest(String address, ServiceRequest request) {
+        Observation observation = caller.send(address, request).join();
+        print(request.caller(), request.method() + " " + request.service(), observation);
+        observedRequests.add(
+                ObservedRequest.of(request, SampleAccounts.DEFAULT_CLASS, observation));
+        return observation.outcome() == Outcome.WHOLE;
     }
 
-    private void print(CallerKey account, String what, Observation seen) {
+    private void print(CallerKey callerKey, String destination, Observation observation) {
         out.printf(
                 "%-13s %-26s %-12s %s %s %.1f ms%n",
-                account.account(),
-                what,
-                seen.outcome(),
-                seen.status(),
-                seen.code(),
-                seen.totalMillis());
+                callerKey.account(),
+                destination,
+                observation.outcome(),
+                observation.status(),
+                observation.code(),
+                observation.totalMillis());
     }
 
     private boolean printReports(LocalStack stack) {
@@ -174,7 +193,7 @@
     }
 
     private boolean checkReport(LocalStack stack) {
-        List<String> differences = ReportCheck.differences(stack, sent);
+        List<String> differences = ReportCheck.differences(stack, observedRequests);
         out.println("Report against what callers saw: " + differences.size() + " differences");
         differences.forEach(out::println);
         return differences.isEmpty();
@@ -183,7 +202,11 @@
     private boolean checkMemory(LocalStack stack) {
         int overcommits =
                 stack.engines().values().stream()
-                        .mapToInt(engine -> engine.ask("/control/state").get("overcommits").asInt())
+                        .mapToInt(
+                                engine ->
+                                        engine.getControl("/control/state")
+                                                .get("overcommits")
+                                                .asInt())
                         .sum();
         out.println("Orders that overcommitted memory: " + overcommits);
         return overcommits == 0;
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/Verdicts.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/ExchangeAssertions.java
@@ -6,31 +6,31 @@
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.SteadyLoad;
 import org.tamaracktrack.bench.stack.LocalStack;
-import org.tamaracktrack.bench.stack.RunBook;
+import org.tamaracktrack.bench.stack.RunCounts;
 
-/** What must hold of every exchange, whatever failed meanwhile. */
-final class Verdicts {
-    private Verdicts() {}
+/** Assertions that must hold for every exchange, whichever component failed during it. */
+final class ExchangeAssertions {
+    private ExchangeAssertions() {}
 
-    static void assertPromisesKept(LocalStack stack, List<SteadyLoad.Exchange> exchanges) {
-        RunBook runs = RunBook.of(stack);
-        exchanges.forEach(exchange -> assertPromisesKept(runs, exchange));
+    static void assertGuaranteesHold(LocalStack stack, List<SteadyLoad.Exchange> exchanges) {
+        RunCounts runCounts = RunCounts.of(stack);
+        exchanges.forEach(exchange -> assertGuaranteesHold(runCounts, exchange));
         assertNoOvercommit(stack);
     }
 
-    private static void assertPromisesKept(RunBook runs, SteadyLoad.Exchange exchange) {
-        int ran = runs.runsOf(exchange.request().promptHash());
+    private static void assertGuaranteesHold(RunCounts runCounts, SteadyLoad.Exchange exchange) {
+        int runCount = runCounts.runsOf(exchange.request().promptHash());
         assertWithMessage("%s", exchange)
-                .that(exchange.seen().outcome())
+                .that(exchange.observation().outcome())
                 .isNotEqualTo(Outcome.WRONG);
-        if (exchange.seen().outcome() == Outcome.NOT_RUN) {
-            assertWithMessage("runs of a request said not to have run: %s", exchange)
-                    .that(ran)
+        if (exchange.observation().outcome() == Outcome.NOT_RUN) {
+            assertWithMessage("runs of a request that was reported as not run: %s", exchange)
+                    .that(runCount)
                     .isEqualTo(0);
         }
         if (!exchange.request().idempotent()) {
             assertWithMessage("runs of a non-idempotent request: %s", exchange)
-                    .that(ran)
+                    .that(runCount)
                     .isAtMost(1);
         }
     }
@@ -39,9 +39,9 @@
         stack.engines()
                 .forEach(
                         (name, engine) ->
-                                assertWithMessage("overcommits of %s", name)
+                                assertWithMessage("memory overcommits of %s", name)
                                         .that(
-                                                engine.ask("/control/state")
+                                                engine.getControl("/control/state")
                                                         .get("overcommits")
                                                         .asInt())
                                         .isEqualTo(0));
@@ -49,13 +49,13 @@
 
     static List<SteadyLoad.Exchange> whole(List<SteadyLoad.Exchange> exchanges) {
         return exchanges.stream()
-                .filter(exchange -> exchange.seen().outcome() == Outcome.WHOLE)
+                .filter(exchange -> exchange.observation().outcome() == Outcome.WHOLE)
                 .toList();
     }
 
     static List<SteadyLoad.Exchange> notWhole(List<SteadyLoad.Exchange> exchanges) {
         return exchanges.stream()
-                .filter(exchange -> exchange.seen().outcome() != Outcome.WHOLE)
+                .filter(exchange -> exchange.observation().outcome() != Outcome.WHOLE)
                 .toList();
     }
 }
--- a/bench/src/test/java/org/tamaracktrack/bench/endtoend/PathTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/endtoend/RequestPathTest.java
@@ -17,13 +17,13 @@
 import org.tamaracktrack.bench.caller.Outcome;
 import org.tamaracktrack.bench.caller.ServiceRequest;
 import org.tamaracktrack.bench.stack.LocalStack;
-import org.tamaracktrack.bench.stack.RunBook;
+import org.tamaracktrack.bench.stack.RunCounts;
 import org.tamaracktrack.bench.stack.SampleAccounts;
 import org.tamaracktrack.standins.http.Sha256;
 
 @Timeout(60)
-@ExtendWith(HealthyStack.class)
-class PathTest {
+@ExtendWith(SharedStackExtension.class)
+class RequestPathTest {
     private final Caller caller = Caller.of();
 
     private void assertWhole(String address, ModelRequest request) {
@@ -39,23 +39,30 @@
             stack.entries()
                     .forEach(
                             entry ->
-                                    SampleAccounts.toEveryModel(HealthyStack.newPrompt())
-                                            .forEach(r -> assertWhole(entry.httpAddress(), r)));
+                                    SampleAccounts.requestsToEveryModel(
+                                                    SharedStackExtension.newPrompt())
+                                            .forEach(
+                                                    request ->
+                                                            assertWhole(
+                                                                    entry.httpAddress(), request)));
         }
 
         @Test
-        void shouldStreamToTheEnd(LocalStack stack) {
-            SampleAccounts.toEveryModel(HealthyStack.newPrompt())
-                    .forEach(r -> assertWhole(stack.entry(0).httpAddress(), r.streamed(30)));
+        void shouldStreamEveryModelToTheEnd(LocalStack stack) {
+            SampleAccounts.requestsToEveryModel(SharedStackExtension.newPrompt())
+                    .forEach(
+                            request ->
+                                    assertWhole(
+                                            stack.entry(0).httpAddress(), request.streamed(30)));
         }
 
         @Test
-        void shouldUseTheAdapterThatIsAskedFor(LocalStack stack) {
+        void shouldUseTheRequestedAdapter(LocalStack stack) {
             ModelRequest request =
                     ModelRequest.of(
                                     SampleAccounts.CEVALLOS,
                                     "order-reader",
-                                    HealthyStack.newPrompt())
+                                    SharedStackExtension.newPrompt())
                             .withAdapter("quito-south");
             assertWhole(stack.entry(1).httpAddress(), request);
         }
@@ -64,41 +71,46 @@
         void shouldHideTheModelsOfOtherAccounts(LocalStack stack) {
             ModelRequest request =
                     ModelRequest.of(
-                            SampleAccounts.CEVALLOS, "history-writer", HealthyStack.newPrompt());
-            Observation seen = caller.send(stack.entry(0).httpAddress(), request).join();
-            assertThat(seen.outcome()).isEqualTo(Outcome.NOT_RUN);
-            assertThat(seen.code()).isEqualTo("UNKNOWN_MODEL");
+                            SampleAccounts.CEVALLOS,
+                            "history-writer",
+                            SharedStackExtension.newPrompt());
+            Observation observation = caller.send(stack.entry(0).httpAddress(), request).join();
+            assertThat(observation.outcome()).isEqualTo(Outcome.NOT_RUN);
+            assertThat(observation.code()).isEqualTo("UNKNOWN_MODEL");
         }
 
         @Test
-        void shouldRefuseAWrongKey(LocalStack stack) {
+        void shouldRefuseAnUnknownKey(LocalStack stack) {
             ModelRequest request =
                     ModelRequest.of(
                             new CallerKey("cevallos", "wrong"),
                             "order-reader",
-                            HealthyStack.newPrompt());
-            Observation seen = caller.send(stack.entry(0).httpAddress(), request).join();
-            assertThat(seen.status()).isEqualTo(401);
+                            SharedStackExtension.newPrompt());
+            Observation observation = caller.send(stack.entry(0).httpAddress(), request).join();
+            assertThat(observation.status()).isEqualTo(401);
         }
     }
 
     @Nested
     class Services {
         @Test
-        void shouldPassOnMethodPathAndBody(LocalStack stack) {
+        void shouldForwardMethodPathAndBody(LocalStack stack) {
             List.of("GET", "POST", "PUT", "DELETE")
                     .forEach(
                             method -> {
-                                String body = method.equals("GET") ? "" : HealthyStack.newPrompt();
-                                ServiceRequest call =
-                                        SampleAccounts.toService(
+                                String body =
+                                        method.equals("GET")
+                                                ? ""
+                                                : SharedStackExtension.newPrompt();
+                                ServiceRequest request =
+                                        SampleAccounts.serviceRequest(
                                                 SampleAccounts.KTIMATOLOGOS,
                                                 method,
                                                 body,
                                                 Optional.empty());
                                 String address = stack.entry(0).httpAddress();
                                 assertWithMessage(method)
-                                        .that(caller.send(address, call).join().outcome())
+                                        .that(caller.send(address, request).join().outcome())
                                         .isEqualTo(Outcome.WHOLE);
                             });
         }
@@ -107,34 +119,39 @@
     @Nested
     class IdempotencyKeys {
         @Test
-        void shouldRunOnceWhenTheSameKeyComesThroughTwoEntryDaemonsAtOnce(LocalStack stack) {
-            // A caller's library repeats a call through the balancer while the first attempt is
-            // still under way, so both entry daemons hold the same key at the same time. The
-            // first claim in the log wins; the other call is told so and is not run.
+        void shouldRunOnceWhenTwoEntryDaemonsReceiveTheSameKeyConcurrently(LocalStack stack) {
+            // Guards against two runs of a request with an idempotency key. A client library
+            // retries
+            // a request through the balancer while the first attempt is in progress, so both entry
+            // daemons hold the same key concurrently. The first claim in the log wins; the other
+            // request is refused and not run.
             IntStream.range(0, 10).forEach(round -> assertRunsOnce(stack, "key-" + round));
         }
 
         private void assertRunsOnce(LocalStack stack, String key) {
-            ServiceRequest call =
-                    SampleAccounts.toService(
+            ServiceRequest request =
+                    SampleAccounts.serviceRequest(
                             SampleAccounts.CEVALLOS,
                             "POST",
-                            HealthyStack.newPrompt(),
+                            SharedStackExtension.newPrompt(),
                             Optional.of(key));
-            List<Observation> seen =
+            List<Observation> observations =
                     stack.entries().stream()
-                            .map(entry -> caller.send(entry.httpAddress(), call))
+                            .map(entry -> caller.send(entry.httpAddress(), request))
                             .toList()
                             .stream()
                             .map(future -> future.join())
                             .toList();
-            assertThat(RunBook.of(stack).runsOf(Sha256.hex(call.body()))).isEqualTo(1);
-            assertWithMessage("%s", seen)
-                    .that(seen.stream().filter(s -> s.outcome() == Outcome.WHOLE).count())
+            assertThat(RunCounts.of(stack).runsOf(Sha256.hex(request.body()))).isEqualTo(1);
+            assertWithMessage("%s", observations)
+                    .that(
+                            observations.stream()
+                                    .filter(answer -> answer.outcome() == Outcome.WHOLE)
+                                    .count())
                     .isEqualTo(1);
             assertThat(
-                            seen.stream()
-                                    .filter(s -> s.outcome() != Outcome.WHOLE)
+                            observations.stream()
+                                    .filter(answer -> answer.outcome() != Outcome.WHOLE)
                                     .map(Observation::code)
                                     .toList())
                     .containsAnyOf("KEY_IN_USE", "KEY_ALREADY_RAN");
