--- a/bench/src/main/java/org/tamaracktrack/bench/load/Arrival.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Arrival.java
@@ -4,9 +4,9 @@
 import org.tamaracktrack.bench.caller.ModelRequest;
 
 /**
- * A request and when it is meant to be sent.
+ * A request and the time at which it is due.
  *
- * @param atMillis milliseconds after the start of the load
+ * @param atMillis the time at which the request is due, in milliseconds after the start of the load
  * @param request the request
  */
 public record Arrival(double atMillis, ModelRequest request) {
--- a/bench/src/main/java/org/tamaracktrack/bench/load/ArrivalPlan.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/ArrivalPlan.java
@@ -9,17 +9,19 @@
 import org.tamaracktrack.bench.caller.ModelRequest;
 
 /**
- * Arrivals that do not wait for answers, the same for the same seed. Interactive requests rise to a
- * peak in the middle third, all accounts at once; batch requests come evenly beneath. Demand of
- * models falls off as in a Zipf distribution; half of all requests name an adapter.
+ * Generates the arrivals of an open-loop load from a seed: equal arguments give equal arrivals.
+ *
+ * <p>Interactive requests of all client accounts reach their peak rate in the middle third of the
+ * run; batch requests arrive at a constant rate. Demand for models follows a Zipf distribution, and
+ * up to half of the requests name an adapter.
  */
 public final class ArrivalPlan {
     private static final double MILLIS_PER_SECOND = 1000.0;
-    private static final double BATCH_PART = 0.25;
-    private static final double OFF_PEAK = 0.3;
-    private static final double TENFOLD = 10;
+    private static final double BATCH_FRACTION = 0.25;
+    private static final double OFF_PEAK_FRACTION = 0.3;
+    private static final double SURGE_FACTOR = 10;
     private static final int CHARACTERS_PER_TOKEN = 4;
-    private static final int SURGING_MODEL = 12;
+    private static final int SURGING_MODEL_INDEX = 12;
 
     private final UserProfile user;
     private final Speed speed;
@@ -38,15 +40,16 @@
     }
 
     /**
-     * Returns the arrivals of a run.
+     * Returns the arrivals of one run.
      *
-     * @param user the user
-     * @param speed how fast the experiment runs
-     * @param seed the seed
-     * @param durationMillis how long requests are sent
-     * @param loadFactor demand at the peak against what the engines could run at best
-     * @param surge whether one model's demand grows tenfold in the second half
-     * @return the arrivals in order
+     * @param user the user whose models, adapters and client accounts the requests name
+     * @param speed the speed of the experiment and the costs of a request
+     * @param seed the seed of the random numbers
+     * @param durationMillis the duration of the load in milliseconds
+     * @param loadFactor the peak demand as a multiple of the request rate that all engines can
+     *     serve together
+     * @param surge whether the demand for one model grows tenfold in the second half
+     * @return the arrivals in order of time
      */
     public static List<Arrival> of(
             UserProfile user,
@@ -57,69 +60,72 @@
             boolean surge) {
         Objects.requireNonNull(user, "user is null");
         ArrivalPlan plan = new ArrivalPlan(user, speed, new Random(seed), durationMillis, surge);
-        plan.fill(loadFactor * speed.engineRate() * user.engines());
+        plan.generate(loadFactor * speed.engineRequestsPerSecond() * user.engines());
         return List.copyOf(plan.arrivals);
     }
 
-    private void fill(double peakPerSecond) {
-        double at = 0;
+    private void generate(double peakPerSecond) {
+        double atMillis = 0;
         while (true) {
-            at -= Math.log(1 - random.nextDouble()) * MILLIS_PER_SECOND / peakPerSecond;
-            if (at >= durationMillis) {
+            atMillis -= Math.log(1 - random.nextDouble()) * MILLIS_PER_SECOND / peakPerSecond;
+            if (atMillis >= durationMillis) {
                 return;
             }
-            // Thinned out from the peak's rate, so that the times of the rest do not change.
-            boolean batch = random.nextDouble() < BATCH_PART;
-            boolean kept = random.nextDouble() < (batch ? 1 : part(at));
-            int model = model(at);
-            if (kept) {
-                arrivals.add(new Arrival(at, request(arrivals.size(), model, batch)));
+            // Arrivals are drawn at the peak rate and thinned afterwards, so that the times of the
+            // accepted ones do not depend on the fractions.
+            boolean batch = random.nextDouble() < BATCH_FRACTION;
+            boolean accepted = random.nextDouble() < (batch ? 1 : interactiveFraction(atMillis));
+            int model = drawModelIndex(atMillis);
+            if (accepted) {
+                arrivals.add(new Arrival(atMillis, drawRequest(arrivals.size(), model, batch)));
             }
         }
     }
 
-    private double part(double at) {
-        double third = durationMillis / 3.0;
-        return at >= third && at < 2 * third ? 1 : OFF_PEAK;
+    private double interactiveFraction(double atMillis) {
+        double thirdMillis = durationMillis / 3.0;
+        return atMillis >= thirdMillis && atMillis < 2 * thirdMillis ? 1 : OFF_PEAK_FRACTION;
     }
 
-    private int model(double at) {
-        boolean surging = surge && at > durationMillis / 2.0;
+    private int drawModelIndex(double atMillis) {
+        boolean surging = surge && atMillis > durationMillis / 2.0;
         double[] weights =
                 IntStream.range(0, user.models())
                         .mapToDouble(
                                 model ->
-                                        (surging && model == SURGING_MODEL ? TENFOLD : 1)
+                                        (surging && model == SURGING_MODEL_INDEX ? SURGE_FACTOR : 1)
                                                 / (model + 1.0))
                         .toArray();
-        double left =
+        double remainingWeight =
                 random.nextDouble()
                         * IntStream.range(0, weights.length)
                                 .mapToDouble(model -> weights[model])
                                 .sum();
         int model = 0;
-        while (model < weights.length - 1 && left >= weights[model]) {
-            left -= weights[model];
+        while (model < weights.length - 1 && remainingWeight >= weights[model]) {
+            remainingWeight -= weights[model];
             model++;
         }
         return model;
     }
 
-    private ModelRequest request(int number, int model, boolean batch) {
+    private ModelRequest drawRequest(int number, int model, boolean batch) {
         String account = user.accountNames().get(random.nextInt(user.accounts().size()));
         Optional<String> adapter =
                 Optional.of(model + user.models() * random.nextInt(3))
                         .filter(index -> random.nextBoolean() && index < user.adapters())
                         .map(index -> user.adapterNames().get(index));
-        // A site's prompts begin alike, as a form does.
-        String form = "form of model " + model + " kind " + random.nextInt(4) + " ";
-        String filler = form.repeat(speed.promptTokens() * CHARACTERS_PER_TOKEN / form.length());
+        // Prompts of a site share prefixes because they are made from a few form templates.
+        String sharedPrefix = "form of model " + model + " kind " + random.nextInt(4) + " ";
+        String promptPrefix =
+                sharedPrefix.repeat(
+                        speed.promptTokens() * CHARACTERS_PER_TOKEN / sharedPrefix.length());
         return new ModelRequest(
-                ExperimentDocument.key(account),
+                ExperimentDocument.accountKey(account),
                 user.modelNames().get(model),
                 adapter,
                 batch ? "batch" : "interactive",
-                filler + "request " + number,
+                promptPrefix + "request " + number,
                 speed.answerTokens(),
                 true,
                 random.nextInt(5) != 0,
--- a/bench/src/main/java/org/tamaracktrack/bench/load/Experiment.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Experiment.java
@@ -22,10 +22,10 @@
 import org.tamaracktrack.bench.stack.TargetPlan;
 import org.tamaracktrack.bench.stack.Waiting;
 
-/** One run of a user's load against the whole system. */
+/** Runs the load of one user against a complete local system. */
 public final class Experiment {
     private static final Duration START_LIMIT = Duration.ofSeconds(60);
-    private static final int ENTRIES = 3;
+    private static final int ENTRY_COUNT = 3;
     private static final double TRANSFER_MEBIBYTES_PER_SECOND = 1_000;
 
     private final Path directory;
@@ -46,11 +46,11 @@
     /**
      * Returns an experiment.
      *
-     * @param directory where output goes
-     * @param speed how fast it runs
+     * @param directory the directory for configurations, request tables and the output of processes
+     * @param speed the speed of the experiment and the costs of a request
      * @param seed the seed of the arrivals
-     * @param durationMillis how long requests are sent
-     * @param out where to print
+     * @param durationMillis the duration of the load in milliseconds
+     * @param out the stream to which results are printed
      * @return the experiment
      */
     public static Experiment of(
@@ -60,13 +60,16 @@
     }
 
     /**
-     * Runs it on a fresh system.
+     * Starts a new system, runs the load against it, prints the result and stops the system.
      *
-     * @param user whose load
-     * @param scenario what goes wrong
-     * @param policy what the daemons decide by
-     * @param loadFactor demand at the peak against what the engines could run at best
-     * @return what it gave
+     * @param user the user whose load is run
+     * @param scenario the fault or change of demand during the load
+     * @param policy the policies of the daemons
+     * @param loadFactor the peak demand as a multiple of the request rate that all engines can
+     *     serve together
+     * @return the result of the run
+     * @throws StackException if the system does not start, a model does not answer in time, or a
+     *     file cannot be written
      */
     public RunResult run(UserProfile user, Scenario scenario, Policy policy, double loadFactor) {
         List<Arrival> arrivals =
@@ -77,78 +80,88 @@
                         durationMillis,
                         loadFactor,
                         scenario == Scenario.TENFOLD);
-        try (LocalStack stack = LocalStack.start(plan(user, policy))) {
-            List<OpenLoad.Answered> warmUp = awaitFirstAnswers(stack, user);
+        try (LocalStack stack = LocalStack.start(stackPlan(user, policy))) {
+            List<OpenLoopLoad.SentRequest> warmUpRequests = awaitEveryModel(stack, user);
             List<String> addresses =
                     stack.entries().stream().map(DaemonProcess::httpAddress).toList();
-            List<OpenLoad.Answered> answered =
-                    new OpenLoad()
+            List<OpenLoopLoad.SentRequest> sentRequests =
+                    new OpenLoopLoad()
                             .run(
                                     addresses,
                                     arrivals,
                                     scenario.events(stack, durationMillis, speed));
-            writeRequests(user, scenario, policy, loadFactor, answered);
+            writeRequests(user, scenario, policy, loadFactor, sentRequests);
             int overcommits = overcommits(stack);
             stack.stopDaemons();
-            List<OpenLoad.Answered> all = new ArrayList<>(warmUp);
-            all.addAll(answered);
+            List<OpenLoopLoad.SentRequest> allRequests = new ArrayList<>(warmUpRequests);
+            allRequests.addAll(sentRequests);
             RunResult result =
                     new RunResult(
                             user,
                             scenario,
                             policy,
                             loadFactor,
-                            answered,
+                            sentRequests,
                             ReportCheck.moves(stack),
                             overcommits,
-                            reportDifference(stack, all),
+                            reportDifference(stack, allRequests),
                             speed);
             out.print(ResultTable.markdown(List.of(result)));
             return result;
         }
     }
 
-    /** Asks for each model until it answers, so that the load starts with all of them resident. */
-    private List<OpenLoad.Answered> awaitFirstAnswers(LocalStack stack, UserProfile user) {
+    /**
+     * Sends requests to each model until it answers, so that every model has been resident before
+     * the load starts.
+     */
+    private List<OpenLoopLoad.SentRequest> awaitEveryModel(LocalStack stack, UserProfile user) {
         Caller caller = Caller.of();
         String address = stack.entry(0).httpAddress();
-        List<OpenLoad.Answered> asked = new ArrayList<>();
+        List<OpenLoopLoad.SentRequest> warmUpRequests = new ArrayList<>();
         user.modelNames()
                 .forEach(
                         model ->
                                 Waiting.until(
                                         model + " answers",
                                         START_LIMIT,
-                                        () -> ask(caller, address, user, model, asked)));
-        return asked;
+                                        () ->
+                                                sendWarmUpRequest(
+                                                        caller,
+                                                        address,
+                                                        user,
+                                                        model,
+                                                        warmUpRequests)));
+        return warmUpRequests;
     }
 
-    private static boolean ask(
+    private static boolean sendWarmUpRequest(
             Caller caller,
             String address,
             UserProfile user,
             String model,
-            List<OpenLoad.Answered> asked) {
+            List<OpenLoopLoad.SentRequest> warmUpRequests) {
         ModelRequest request =
                 ModelRequest.of(
-                                ExperimentDocument.key(user.accountNames().get(0)),
+                                ExperimentDocument.accountKey(user.accountNames().get(0)),
                                 model,
-                                "warm-up " + asked.size())
+                                "warm-up " + warmUpRequests.size())
                         .inClass("batch");
-        OpenLoad.Answered answer =
-                new OpenLoad.Answered(
+        OpenLoopLoad.SentRequest warmUpRequest =
+                new OpenLoopLoad.SentRequest(
                         new Arrival(0, request), caller.send(address, request).join(), 0);
-        asked.add(answer);
-        return answer.seen().outcome() == Outcome.WHOLE;
+        warmUpRequests.add(warmUpRequest);
+        return warmUpRequest.observation().outcome() == Outcome.WHOLE;
     }
 
-    private StackPlan plan(UserProfile user, Policy policy) {
+    private StackPlan stackPlan(UserProfile user, Policy policy) {
         Path document = directory.resolve("experiment-" + user.name() + ".json");
         try {
             Files.createDirectories(directory);
             Files.write(document, ExperimentDocument.json(user, speed));
         } catch (IOException failure) {
-            throw StackException.of("can't write " + document, failure);
+            throw StackException.of(
+                    "cannot write the configuration of the experiment to " + document, failure);
         }
         List<String> entryFlags =
                 new ArrayList<>(List.of("--balancer-lag-millis", "200", "--report-millis", "1000"));
@@ -159,14 +172,14 @@
                 directory,
                 document,
                 targets(user),
-                IntStream.range(0, ENTRIES).mapToObj(ExperimentDocument::dataCentre).toList(),
+                IntStream.range(0, ENTRY_COUNT).mapToObj(ExperimentDocument::dataCentre).toList(),
                 List.of(),
-                weightFlags(user),
+                weightStoreFlags(user),
                 entryFlags,
                 targetFlags);
     }
 
-    private List<String> weightFlags(UserProfile user) {
+    private List<String> weightStoreFlags(UserProfile user) {
         return List.of(
                 "--loads-per-second", Double.toString(user.loadsPerSecond() * speed.factor()),
                 "--concurrent-loads", Integer.toString(user.concurrentLoads()),
@@ -200,7 +213,7 @@
                 "--cache-mebibytes",
                 Long.toString(ExperimentDocument.CACHE_MEBIBYTES),
                 "--concurrency",
-                Integer.toString(speed.batch()),
+                Integer.toString(speed.batchSize()),
                 "--token-millis",
                 Double.toString(speed.tokenMillis()),
                 "--batch-penalty",
@@ -217,7 +230,7 @@
             Scenario scenario,
             Policy policy,
             double loadFactor,
-            List<OpenLoad.Answered> answered) {
+            List<OpenLoopLoad.SentRequest> sentRequests) {
         String name =
                 String.join(
                         "-",
@@ -228,16 +241,19 @@
                         Double.toString(loadFactor));
         Path file = directory.resolve(name + ".csv");
         try {
-            Files.writeString(file, RequestTable.csv(answered));
+            Files.writeString(file, RequestTable.csv(sentRequests));
         } catch (IOException failure) {
-            throw StackException.of("can't write " + file, failure);
+            throw StackException.of("cannot write the table of requests to " + file, failure);
         }
     }
 
-    private static String reportDifference(LocalStack stack, List<OpenLoad.Answered> all) {
-        List<Seen> seen =
-                all.stream().map(each -> Seen.of(each.arrival().request(), each.seen())).toList();
-        List<String> differences = ReportCheck.differences(stack, seen);
+    private static String reportDifference(
+            LocalStack stack, List<OpenLoopLoad.SentRequest> allRequests) {
+        List<Seen> observations =
+                allRequests.stream()
+                        .map(request -> Seen.of(request.arrival().request(), request.observation()))
+                        .toList();
+        List<String> differences = ReportCheck.differences(stack, observations);
         return differences.isEmpty()
                 ? "same"
                 : differences.size() + " rows differ, first " + differences.get(0);
--- a/bench/src/main/java/org/tamaracktrack/bench/load/ExperimentDocument.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/ExperimentDocument.java
@@ -10,12 +10,12 @@
 import org.tamaracktrack.link.codec.Codecs;
 import org.tamaracktrack.standins.http.Sha256;
 
-/** The configuration of an experiment. */
+/** Builds the configuration document of an experiment. */
 public final class ExperimentDocument {
-    /** Memory of one accelerator: four models, their adapters, and the cache. */
+    /** The memory of one accelerator: room for four models, their adapters and the KV cache. */
     public static final long ACCELERATOR_MEBIBYTES = 36_000;
 
-    /** The part of it for KV cache. */
+    /** The part of the memory of an accelerator that is reserved for the KV cache. */
     public static final long CACHE_MEBIBYTES = 2_000;
 
     private static final long MODEL_MEBIBYTES = 8_000;
@@ -27,7 +27,7 @@
     /**
      * Returns the data centre of a target.
      *
-     * @param index the target's index
+     * @param index the index of the target
      * @return its data centre
      */
     public static String dataCentre(int index) {
@@ -35,21 +35,21 @@
     }
 
     /**
-     * Returns the key of a client account.
+     * Returns the API key of a client account.
      *
-     * @param account the account
-     * @return the key
+     * @param account the name of the client account
+     * @return the account with its key
      */
-    public static CallerKey key(String account) {
+    public static CallerKey accountKey(String account) {
         return new CallerKey(account, "key-of-" + account);
     }
 
     /**
-     * Returns the document as JSON.
+     * Returns the configuration document as JSON.
      *
-     * @param user the user
-     * @param speed how fast the experiment runs
-     * @return the text
+     * @param user the user whose site is configured
+     * @param speed the speed of the experiment, by which times and rates are scaled
+     * @return the encoded document
      */
     public static byte[] json(UserProfile user, Speed speed) {
         Objects.requireNonNull(user, "user is null");
@@ -93,9 +93,9 @@
             int weight,
             int queueLimit) {
         return Map.of(
-                "firstTokenMillis", speed.compressed(firstTokenMillis),
-                "betweenTokensMillis", speed.compressed(betweenTokensMillis),
-                "totalMillis", speed.compressed(totalMillis),
+                "firstTokenMillis", speed.scaledMillis(firstTokenMillis),
+                "betweenTokensMillis", speed.scaledMillis(betweenTokensMillis),
+                "totalMillis", speed.scaledMillis(totalMillis),
                 "weight", weight,
                 "queueLimit", queueLimit);
     }
@@ -122,7 +122,7 @@
                                         user.adapterNames().get(index),
                                         Map.of(
                                                 "base",
-                                                user.modelNames().get(user.baseOf(index)),
+                                                user.modelNames().get(user.baseModelIndex(index)),
                                                 "version",
                                                 "1",
                                                 "memoryMebibytes",
@@ -150,7 +150,7 @@
     }
 
     private static Map<String, Object> engine(int index, Speed speed) {
-        Map<String, Object> engine = target(index, "engine", speed.batch());
+        Map<String, Object> engine = target(index, "engine", speed.batchSize());
         engine.put("checksFencing", true);
         engine.put(
                 "accelerators",
@@ -197,7 +197,7 @@
                                             "account",
                                             "parameters",
                                             Map.of(
-                                                    "key", Sha256.hex(key(name).key()),
+                                                    "key", Sha256.hex(accountKey(name).key()),
                                                     "share", user.accounts().get(index))));
                         });
         return accounts;
--- a/bench/src/main/java/org/tamaracktrack/bench/load/Experiments.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Experiments.java
@@ -12,9 +12,9 @@
 import java.util.stream.Stream;
 import org.tamaracktrack.bench.stack.StackException;
 
-/** The flags of {@code bin/experiment}, and the runs that they ask for. */
+/** The flags of {@code bin/experiment}, and the runs that they select. */
 public class Experiments {
-    @Parameter(names = "--root", description = "the directory of the project")
+    @Parameter(names = "--root", description = "root directory of the project")
     private String root = ".";
 
     @Parameter(names = "--user", description = "cevallos or ktimatologos; may be repeated")
@@ -26,26 +26,29 @@
     @Parameter(names = "--policy", description = "default, or a baseline's name; may be repeated")
     private List<String> policies = List.of("default");
 
-    @Parameter(names = "--load", description = "load factor; may be repeated")
+    @Parameter(
+            names = "--load",
+            description = "peak load as a multiple of capacity; may be repeated")
     private List<Double> loads = List.of(0.7, 1.0, 1.5);
 
-    @Parameter(names = "--seconds", description = "how long requests are sent")
+    @Parameter(names = "--seconds", description = "duration of the load in seconds")
     private int seconds = 20;
 
     @Parameter(names = "--seed", description = "seed of the arrivals")
     private long seed = 1;
 
-    @Parameter(names = "--output", description = "where the tables go")
+    @Parameter(names = "--output", description = "directory for the result tables")
     private String output = ".local/experiments";
 
-    /** Makes flags with their defaults. */
+    /** Creates flags with their default values. */
     public Experiments() {}
 
     /**
-     * Runs every combination and writes the tables.
+     * Runs every combination of user, scenario, policy and load factor, and writes the result
+     * tables.
      *
-     * @param out where to print
-     * @return 0 when every run ended
+     * @param out the stream to which results are printed
+     * @return 0 if every run was completed, otherwise 1
      */
     public int run(PrintStream out) {
         Objects.requireNonNull(out, "out is null");
@@ -54,7 +57,7 @@
                 Locale.ROOT,
                 "Time runs %.0f times faster than on real hardware; %.1f requests/s per engine.%n",
                 speed.factor(),
-                speed.engineRate());
+                speed.engineRequestsPerSecond());
         Experiment experiment =
                 Experiment.of(Path.of(root, ".local"), speed, seed, seconds * 1000L, out);
         List<RunResult> results = new ArrayList<>();
@@ -103,14 +106,14 @@
         return Stream.of(UserProfile.CEVALLOS, UserProfile.KTIMATOLOGOS)
                 .filter(user -> user.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> StackException.of("no such user: " + name));
+                .orElseThrow(() -> StackException.of("unknown user: " + name));
     }
 
     private static Policy policy(String name) {
         return Stream.concat(Stream.of(Policy.DEFAULT), Policy.BASELINES.stream())
                 .filter(policy -> policy.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> StackException.of("no such policy: " + name));
+                .orElseThrow(() -> StackException.of("unknown policy: " + name));
     }
 
     private void write(List<RunResult> results) {
@@ -120,7 +123,7 @@
             Files.writeString(directory.resolve("results.md"), ResultTable.markdown(results));
             Files.writeString(directory.resolve("results.csv"), ResultTable.csv(results));
         } catch (IOException failure) {
-            throw StackException.of("can't write to " + directory, failure);
+            throw StackException.of("cannot write the result tables to " + directory, failure);
         }
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/load/Policy.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Policy.java
@@ -4,18 +4,18 @@
 import java.util.Objects;
 
 /**
- * What the daemons decide by.
+ * A selection of placement, routing and admission policies, as flags of the daemons.
  *
- * @param name its name in the table
- * @param entryFlags flags of entry daemons
- * @param targetFlags flags of target daemons
+ * @param name the name of the policy in result tables
+ * @param entryFlags the flags of the entry daemons
+ * @param targetFlags the flags of the target daemons
  */
 public record Policy(String name, List<String> entryFlags, List<String> targetFlags) {
 
-    /** What the daemons do when they are told nothing. */
+    /** The default policies of the daemons. */
     public static final Policy DEFAULT = new Policy("default", List.of(), List.of());
 
-    /** The simpler ways that it is measured against. */
+    /** Simpler policies, with which the default is compared. */
     public static final List<Policy> BASELINES =
             List.of(
                     placement("static"),
--- a/bench/src/main/java/org/tamaracktrack/bench/load/RequestTable.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/RequestTable.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Every request of a run as comma-separated values. */
+/** Formats all requests of a run as comma-separated values. */
 public final class RequestTable {
     private static final String HEADERS =
             "at_millis,account,model,adapter,class,outcome,code,first_byte_millis,total_millis";
@@ -14,18 +14,18 @@
     private RequestTable() {}
 
     /**
-     * Returns the requests, one on each line.
+     * Returns a header and one line for each request.
      *
-     * @param answered the requests and what their callers saw
+     * @param sentRequests the requests and their results
      * @return the text
      */
-    public static String csv(List<OpenLoad.Answered> answered) {
-        Objects.requireNonNull(answered, "answered is null");
-        return Stream.concat(Stream.of(HEADERS), answered.stream().map(RequestTable::line))
+    public static String csv(List<OpenLoopLoad.SentRequest> sentRequests) {
+        Objects.requireNonNull(sentRequests, "answered is null");
+        return Stream.concat(Stream.of(HEADERS), sentRequests.stream().map(RequestTable::line))
                 .collect(Collectors.joining("\n", "", "\n"));
     }
 
-    private static String line(OpenLoad.Answered request) {
+    private static String line(OpenLoopLoad.SentRequest request) {
         return String.format(
                 Locale.ROOT,
                 "%.0f,%s,%s,%s,%s,%s,%s,%.1f,%.1f",
@@ -34,8 +34,8 @@
                 request.arrival().request().model(),
                 request.arrival().request().adapter().orElse(""),
                 request.arrival().request().requestClass(),
-                request.seen().outcome(),
-                request.seen().code(),
+                request.observation().outcome(),
+                request.observation().code(),
                 request.firstByteMillis(),
                 request.totalMillis());
     }
--- a/bench/src/main/java/org/tamaracktrack/bench/load/ResultTable.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/ResultTable.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import org.tamaracktrack.bench.measure.Quantiles;
 
-/** Results as a table. */
+/** Formats the results of runs as a table, one row for each run. */
 public final class ResultTable {
     private static final List<String> HEADERS =
             List.of(
@@ -30,27 +30,27 @@
     private ResultTable() {}
 
     /**
-     * Returns the rows in Markdown.
+     * Returns the table in Markdown.
      *
      * @param results the results
      * @return the text
      */
     public static String markdown(List<RunResult> results) {
         Objects.requireNonNull(results, "results is null");
-        Stream<String> head =
+        Stream<String> headerRows =
                 Stream.of(
-                        line(HEADERS, " | "),
-                        line(HEADERS.stream().map(header -> "---").toList(), " | "));
+                        joinCells(HEADERS, " | "),
+                        joinCells(HEADERS.stream().map(header -> "---").toList(), " | "));
         return Stream.concat(
-                        head.map(ResultTable::boxed),
+                        headerRows.map(ResultTable::markdownRow),
                         results.stream()
                                 .map(ResultTable::cells)
-                                .map(cells -> boxed(line(cells, " | "))))
+                                .map(cells -> markdownRow(joinCells(cells, " | "))))
                 .collect(Collectors.joining("\n", "", "\n"));
     }
 
     /**
-     * Returns the rows as comma-separated values.
+     * Returns the table as comma-separated values.
      *
      * @param results the results
      * @return the text
@@ -58,44 +58,48 @@
     public static String csv(List<RunResult> results) {
         return Stream.concat(Stream.of(HEADERS), results.stream().map(ResultTable::cells))
                 .map(cells -> cells.stream().map(cell -> '"' + cell + '"').toList())
-                .map(cells -> line(cells, ","))
+                .map(cells -> joinCells(cells, ","))
                 .collect(Collectors.joining("\n", "", "\n"));
     }
 
-    private static String boxed(String line) {
+    private static String markdownRow(String line) {
         return "| " + line + " |";
     }
 
-    private static String line(List<String> cells, String separator) {
+    private static String joinCells(List<String> cells, String separator) {
         return String.join(separator, cells);
     }
 
     private static List<String> cells(RunResult result) {
-        Quantiles first = result.firstTokens();
+        Quantiles firstTokenTimes = result.firstTokenTimes();
         return List.of(
                 result.user().name(),
                 result.scenario().name().toLowerCase(Locale.ROOT),
                 result.policy().name(),
                 Double.toString(result.loadFactor()),
-                Integer.toString(result.answered().size()),
-                number(result.attainedPerAccelerator()),
-                number(result.attainment("interactive")),
-                number(result.attainment("batch")),
+                Integer.toString(result.sentRequests().size()),
+                formatNumber(result.attainedPerAccelerator()),
+                formatNumber(result.attainment("interactive")),
+                formatNumber(result.attainment("batch")),
                 result.attainmentByAccount().values().stream()
-                        .map(ResultTable::number)
+                        .map(ResultTable::formatNumber)
                         .collect(Collectors.joining(" / ")),
-                number(first.at(50)) + " / " + number(first.at(95)) + " / " + number(first.at(99)),
-                pairs(result.moves()),
-                pairs(result.outcomes()),
+                formatNumber(firstTokenTimes.at(50))
+                        + " / "
+                        + formatNumber(firstTokenTimes.at(95))
+                        + " / "
+                        + formatNumber(firstTokenTimes.at(99)),
+                formatCounts(result.moves()),
+                formatCounts(result.outcomes()),
                 Integer.toString(result.overcommits()),
                 result.reportDifference());
     }
 
-    private static String number(double value) {
+    private static String formatNumber(double value) {
         return String.format(Locale.ROOT, "%.1f", value);
     }
 
-    private static String pairs(Map<String, Long> counts) {
+    private static String formatCounts(Map<String, Long> counts) {
         return counts.entrySet().stream()
                 .map(count -> count.getKey() + "=" + count.getValue())
                 .collect(Collectors.joining(" "));
--- a/bench/src/main/java/org/tamaracktrack/bench/load/RunResult.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/RunResult.java
@@ -10,24 +10,26 @@
 import org.tamaracktrack.bench.measure.Quantiles;
 
 /**
- * What one run gave.
+ * The result of one run.
  *
- * @param user whose load it was
- * @param scenario what went wrong
- * @param policy what the daemons decided by
- * @param loadFactor demand at the peak against what the engines could run at best
- * @param answered every request and what its caller saw
- * @param moves moves by kind
- * @param overcommits orders that overcommitted memory
- * @param reportDifference how the report differs from what callers saw, in words
- * @param speed how fast the experiment ran
+ * @param user the user whose load was run
+ * @param scenario the fault or change of demand during the load
+ * @param policy the policies of the daemons
+ * @param loadFactor the peak demand as a multiple of the request rate that all engines can serve
+ *     together
+ * @param sentRequests all requests and their results
+ * @param moves the number of loads and unloads of models and adapters, by kind
+ * @param overcommits the number of orders after which an accelerator held more than fits its memory
+ * @param reportDifference a description of the differences between the request report and the
+ *     outcomes that callers observed
+ * @param speed the speed of the experiment and the costs of a request
  */
 public record RunResult(
         UserProfile user,
         Scenario scenario,
         Policy policy,
         double loadFactor,
-        List<OpenLoad.Answered> answered,
+        List<OpenLoopLoad.SentRequest> sentRequests,
         Map<String, Long> moves,
         int overcommits,
         String reportDifference,
@@ -39,93 +41,100 @@
     /** Checks the arguments. */
     public RunResult {
         Objects.requireNonNull(user, "user is null");
-        answered = List.copyOf(answered);
+        sentRequests = List.copyOf(sentRequests);
         moves = new TreeMap<>(moves);
     }
 
     /**
-     * Returns whether a request was served within its class.
+     * Returns whether a request met the latency objective of its request class.
      *
-     * @param request the request and what its caller saw
-     * @return whether its first token came in time and its answer was whole
+     * @param request the request and its result
+     * @return whether the answer was whole and its first token arrived within the objective
      */
-    public boolean inClass(OpenLoad.Answered request) {
+    public boolean meetsObjective(OpenLoopLoad.SentRequest request) {
         boolean batch = request.arrival().request().requestClass().equals("batch");
-        long objective = batch ? BATCH_FIRST_TOKEN_MILLIS : INTERACTIVE_FIRST_TOKEN_MILLIS;
-        return request.seen().outcome() == Outcome.WHOLE
-                && request.firstByteMillis() <= speed.compressed(objective);
+        long objectiveMillis = batch ? BATCH_FIRST_TOKEN_MILLIS : INTERACTIVE_FIRST_TOKEN_MILLIS;
+        return request.observation().outcome() == Outcome.WHOLE
+                && request.firstByteMillis() <= speed.scaledMillis(objectiveMillis);
     }
 
     /**
-     * Returns the requests of a class that were served within it.
+     * Returns the share of requests of a class that met the objective of the class.
      *
-     * @param requestClass the class
-     * @return the part of those sent, in percent
+     * @param requestClass the request class
+     * @return the share of the requests sent, in percent; 100 if none was sent
      */
     public double attainment(String requestClass) {
-        return percent(ofClass(requestClass), this::inClass);
+        return percentage(requestsOfClass(requestClass), this::meetsObjective);
     }
 
     /**
-     * Returns the requests served within their class for each accelerator.
+     * Returns the number of requests that met the objective of their class, per accelerator.
      *
-     * @return how many
+     * @return requests per accelerator
      */
     public double attainedPerAccelerator() {
-        return (double) answered.stream().filter(this::inClass).count() / user.engines();
+        return (double) sentRequests.stream().filter(this::meetsObjective).count() / user.engines();
     }
 
     /**
-     * Returns what each client account got.
+     * Returns the share of requests that met the objective of their class, by client account.
      *
-     * @return the part of its requests served within their class, in percent, by account
+     * @return the share of the requests of each account, in percent
      */
     public Map<String, Double> attainmentByAccount() {
-        return answered.stream()
+        return sentRequests.stream()
                 .collect(
                         Collectors.groupingBy(
                                 request -> request.arrival().request().caller().account(),
                                 TreeMap::new,
                                 Collectors.collectingAndThen(
                                         Collectors.toList(),
-                                        requests -> percent(requests, this::inClass))));
+                                        requests -> percentage(requests, this::meetsObjective))));
     }
 
     /**
-     * Returns how many requests ended in each way.
+     * Returns the number of requests by outcome.
      *
-     * @return counts by outcome, and by code for errors
+     * @return the counts by outcome and, for errors, by error code
      */
     public Map<String, Long> outcomes() {
-        return answered.stream()
-                .map(OpenLoad.Answered::seen)
-                .map(seen -> seen.outcome() + (seen.code().isEmpty() ? "" : ":" + seen.code()))
+        return sentRequests.stream()
+                .map(OpenLoopLoad.SentRequest::observation)
+                .map(
+                        observation ->
+                                observation.outcome()
+                                        + (observation.code().isEmpty()
+                                                ? ""
+                                                : ":" + observation.code()))
                 .collect(Collectors.groupingBy(name -> name, TreeMap::new, Collectors.counting()));
     }
 
     /**
-     * Returns the times to the first token of whole interactive answers, in the experiment.
+     * Returns the times to the first token of whole interactive answers. They are times of the
+     * experiment, not scaled back to real hardware.
      *
-     * @return the times
+     * @return the distribution of the times
      */
-    public Quantiles firstTokens() {
+    public Quantiles firstTokenTimes() {
         Quantiles quantiles = Quantiles.empty();
-        ofClass("interactive").stream()
-                .filter(request -> request.seen().outcome() == Outcome.WHOLE)
+        requestsOfClass("interactive").stream()
+                .filter(request -> request.observation().outcome() == Outcome.WHOLE)
                 .forEach(request -> quantiles.add(request.firstByteMillis()));
         return quantiles;
     }
 
-    private List<OpenLoad.Answered> ofClass(String requestClass) {
-        return answered.stream()
+    private List<OpenLoopLoad.SentRequest> requestsOfClass(String requestClass) {
+        return sentRequests.stream()
                 .filter(request -> request.arrival().request().requestClass().equals(requestClass))
                 .toList();
     }
 
-    private static double percent(
-            List<OpenLoad.Answered> requests, Predicate<OpenLoad.Answered> counted) {
+    private static double percentage(
+            List<OpenLoopLoad.SentRequest> requests,
+            Predicate<OpenLoopLoad.SentRequest> condition) {
         return requests.isEmpty()
                 ? 100
-                : 100.0 * requests.stream().filter(counted).count() / requests.size();
+                : 100.0 * requests.stream().filter(condition).count() / requests.size();
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/load/Scenario.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Scenario.java
@@ -3,53 +3,54 @@
 import java.util.List;
 import org.tamaracktrack.bench.stack.LocalStack;
 
-/** What goes wrong during a load. */
+/** A fault or a change of demand during a load. */
 public enum Scenario {
-    /** Nothing. */
+    /** No fault. */
     PEAK,
-    /** A target and its daemon are gone from the peak's start on. */
+    /** A target stops responding and its daemon is killed at the start of the peak. */
     TARGET_LOST,
-    /** The log is out during the peak. */
+    /** The log is unavailable during the peak. */
     LOG_OUT,
-    /** One model's demand grows tenfold in the second half. */
+    /** The demand for one model grows tenfold in the second half. */
     TENFOLD,
-    /** The engines' load figures are ten seconds old, in real time. */
+    /** The engines report load that is ten seconds old, in the time of real hardware. */
     LAGGING;
 
-    private static final long LAG_MILLIS = 10_000;
+    private static final long LOAD_REPORT_DELAY_MILLIS = 10_000;
 
     /**
-     * Returns what happens during the load.
+     * Returns the events during the load.
      *
-     * @param stack the system
-     * @param durationMillis how long requests are sent
-     * @param speed how fast the experiment runs
-     * @return the events in order
+     * @param stack the running system
+     * @param durationMillis the duration of the load in milliseconds
+     * @param speed the speed of the experiment, by which delays are scaled
+     * @return the events in order of time
      */
-    public List<OpenLoad.Event> events(LocalStack stack, long durationMillis, Speed speed) {
+    public List<OpenLoopLoad.Event> events(LocalStack stack, long durationMillis, Speed speed) {
         double third = durationMillis / 3.0;
         return switch (this) {
             case PEAK, TENFOLD -> List.of();
-            case TARGET_LOST -> List.of(new OpenLoad.Event(third, () -> lose(stack)));
+            case TARGET_LOST -> List.of(new OpenLoopLoad.Event(third, () -> loseTarget(stack)));
             case LOG_OUT ->
                     List.of(
-                            new OpenLoad.Event(third, () -> outage(stack, true)),
-                            new OpenLoad.Event(2 * third, () -> outage(stack, false)));
-            case LAGGING -> List.of(new OpenLoad.Event(0, () -> lag(stack, speed)));
+                            new OpenLoopLoad.Event(third, () -> setLogOutage(stack, true)),
+                            new OpenLoopLoad.Event(2 * third, () -> setLogOutage(stack, false)));
+            case LAGGING ->
+                    List.of(new OpenLoopLoad.Event(0, () -> delayLoadReports(stack, speed)));
         };
     }
 
-    private static void lose(LocalStack stack) {
+    private static void loseTarget(LocalStack stack) {
         stack.target("engine-0").program().kill();
         stack.standIn("engine-0").tell("/control/freeze", "{\"on\":true}");
     }
 
-    private static void outage(LocalStack stack, boolean on) {
+    private static void setLogOutage(LocalStack stack, boolean on) {
         stack.log().tell("/control/outage", "{\"on\":" + on + "}");
     }
 
-    private static void lag(LocalStack stack, Speed speed) {
-        String body = "{\"millis\":" + speed.compressed(LAG_MILLIS) + "}";
+    private static void delayLoadReports(LocalStack stack, Speed speed) {
+        String body = "{\"millis\":" + speed.scaledMillis(LOAD_REPORT_DELAY_MILLIS) + "}";
         stack.engines().values().forEach(engine -> engine.tell("/control/load-lag", body));
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/load/UserProfile.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/UserProfile.java
@@ -5,17 +5,18 @@
 import java.util.stream.IntStream;
 
 /**
- * The size of one user's site.
+ * The size of the site of one user.
  *
- * @param name the user
- * @param engines model runners, one accelerator each
- * @param services plain-service runners
- * @param models models
- * @param adapters adapters
- * @param loadsPerSecond the weight store's rate
- * @param concurrentLoads loads at once at full speed
- * @param moveCost the weight of a move against a request served within its class
- * @param accounts client accounts and their shares
+ * @param name the name of the user
+ * @param engines the number of model engines, each with one accelerator
+ * @param services the number of instances of plain services
+ * @param models the number of models
+ * @param adapters the number of adapters
+ * @param loadsPerSecond the rate at which the weight store starts loads
+ * @param concurrentLoads the number of concurrent loads that the weight store serves at full speed
+ * @param moveCost the cost of one load or unload, in requests that meet the objective of their
+ *     class
+ * @param accounts the share of each client account
  */
 public record UserProfile(
         String name,
@@ -28,11 +29,11 @@
         double moveCost,
         List<Integer> accounts) {
 
-    /** The first user: attainment weighs more than moves. */
+    /** The first user, for whom attainment of latency objectives outweighs the cost of moves. */
     public static final UserProfile CEVALLOS =
             new UserProfile("cevallos", 8, 3, 26, 64, 1.4, 11, 0.2, List.of(2, 1, 1));
 
-    /** The second user: moves weigh more than attainment. */
+    /** The second user, for whom the cost of moves outweighs attainment of latency objectives. */
     public static final UserProfile KTIMATOLOGOS =
             new UserProfile("ktimatologos", 8, 3, 21, 77, 1.4, 16, 2.0, List.of(2, 1, 1));
 
@@ -48,7 +49,7 @@
      * @return the names
      */
     public List<String> modelNames() {
-        return numbered("model-", models);
+        return numberedNames("model-", models);
     }
 
     /**
@@ -57,7 +58,7 @@
      * @return the names
      */
     public List<String> adapterNames() {
-        return numbered("adapter-", adapters);
+        return numberedNames("adapter-", adapters);
     }
 
     /**
@@ -66,20 +67,20 @@
      * @return the names
      */
     public List<String> accountNames() {
-        return numbered("account-", accounts.size());
+        return numberedNames("account-", accounts.size());
     }
 
     /**
-     * Returns the model that an adapter belongs to.
+     * Returns the base model of an adapter.
      *
-     * @param adapter the adapter's index
-     * @return the model's index
+     * @param adapterIndex the index of the adapter
+     * @return the index of the model
      */
-    public int baseOf(int adapter) {
-        return adapter % models;
+    public int baseModelIndex(int adapterIndex) {
+        return adapterIndex % models;
     }
 
-    private static List<String> numbered(String prefix, int count) {
+    private static List<String> numberedNames(String prefix, int count) {
         return IntStream.range(0, count).mapToObj(index -> prefix + index).toList();
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/load/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/package-info.java
@@ -1,2 +1,2 @@
-/** Loads and experiments at the sizes of today. */
+/** Open-loop loads, and experiments at the current sizes of the users' sites. */
 package org.tamaracktrack.bench.load;
--- a/bench/src/test/java/org/tamaracktrack/bench/load/ArrivalPlanTest.java
+++ b/bench/src/test/java/org/tamaracktrack/bench/load/ArrivalPlanTest.java
@@ -9,18 +9,18 @@
 class ArrivalPlanTest {
     private static final long DURATION_MILLIS = 30_000;
 
-    private static List<Arrival> plan(long seed, double load, boolean surge) {
+    private static List<Arrival> plan(long seed, double loadFactor, boolean surge) {
         return ArrivalPlan.of(
-                UserProfile.CEVALLOS, Speed.EXPERIMENT, seed, DURATION_MILLIS, load, surge);
+                UserProfile.CEVALLOS, Speed.EXPERIMENT, seed, DURATION_MILLIS, loadFactor, surge);
     }
 
-    private static long between(List<Arrival> arrivals, long from, long to) {
+    private static long countBetween(List<Arrival> arrivals, long from, long to) {
         return arrivals.stream()
                 .filter(arrival -> arrival.atMillis() >= from && arrival.atMillis() < to)
                 .count();
     }
 
-    private static long toModel(List<Arrival> arrivals, String model) {
+    private static long countToModelInSecondHalf(List<Arrival> arrivals, String model) {
         return arrivals.stream()
                 .filter(arrival -> arrival.atMillis() > DURATION_MILLIS / 2.0)
                 .filter(arrival -> arrival.request().model().equals(model))
@@ -28,35 +28,38 @@
     }
 
     @Test
-    void shouldBeTheSameForTheSameSeed() {
+    void shouldReturnEqualArrivalsForEqualSeeds() {
         assertThat(plan(7, 1, false)).isEqualTo(plan(7, 1, false));
         assertThat(plan(7, 1, false)).isNotEqualTo(plan(8, 1, false));
     }
 
     @Test
-    void shouldBeInOrder() {
+    void shouldReturnArrivalsInOrderOfTime() {
         assertThat(plan(7, 1, false)).isInOrder(Comparator.comparingDouble(Arrival::atMillis));
     }
 
     @Test
-    void shouldPeakInTheMiddleAtTheLoadThatIsAskedFor() {
+    void shouldPeakInTheMiddleThirdAtTheGivenLoadFactor() {
         List<Arrival> arrivals = plan(7, 1, false);
-        double seconds = DURATION_MILLIS / 3000.0;
-        double peak = between(arrivals, DURATION_MILLIS / 3, 2 * DURATION_MILLIS / 3) / seconds;
-        double wanted = Speed.EXPERIMENT.engineRate() * UserProfile.CEVALLOS.engines();
-        assertThat(peak).isWithin(0.1 * wanted).of(wanted);
-        assertThat(between(arrivals, 0, DURATION_MILLIS / 3) / seconds).isLessThan(0.6 * wanted);
+        double thirdSeconds = DURATION_MILLIS / 3000.0;
+        double peakPerSecond =
+                countBetween(arrivals, DURATION_MILLIS / 3, 2 * DURATION_MILLIS / 3) / thirdSeconds;
+        double expectedPerSecond =
+                Speed.EXPERIMENT.engineRequestsPerSecond() * UserProfile.CEVALLOS.engines();
+        assertThat(peakPerSecond).isWithin(0.1 * expectedPerSecond).of(expectedPerSecond);
+        assertThat(countBetween(arrivals, 0, DURATION_MILLIS / 3) / thirdSeconds)
+                .isLessThan(0.6 * expectedPerSecond);
     }
 
     @Test
     void shouldRaiseTheDemandOfOneModelWhenItSurges() {
-        long calm = toModel(plan(7, 1, false), "model-12");
-        long surging = toModel(plan(7, 1, true), "model-12");
-        assertThat(surging).isGreaterThan(4 * calm);
+        long withoutSurge = countToModelInSecondHalf(plan(7, 1, false), "model-12");
+        long withSurge = countToModelInSecondHalf(plan(7, 1, true), "model-12");
+        assertThat(withSurge).isGreaterThan(4 * withoutSurge);
     }
 
     @Test
-    void shouldAskOnlyForAdaptersOfTheModel() {
+    void shouldNameOnlyAdaptersOfTheRequestedModel() {
         plan(7, 1, false).stream()
                 .map(Arrival::request)
                 .filter(request -> request.adapter().isPresent())
@@ -69,7 +72,7 @@
                             String base =
                                     UserProfile.CEVALLOS
                                             .modelNames()
-                                            .get(UserProfile.CEVALLOS.baseOf(adapter));
+                                            .get(UserProfile.CEVALLOS.baseModelIndex(adapter));
                             assertThat(base).isEqualTo(request.model());
                         });
     }
