--- a/bench/src/main/java/org/tamaracktrack/bench/trace/DemandTrace.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/trace/DemandTrace.java
@@ -8,8 +8,9 @@
 import org.tamaracktrack.core.id.ModelId;
 
 /**
- * Requests a second by model and second: a skewed base, a shared rise and fall, and bursts of
- * single models to ten times their base, drawn from a seed.
+ * Request rates by model and second, drawn from a seed. The base rates of models are log-normally
+ * distributed. The rates rise and fall once over the trace, for all models together, and during
+ * bursts the rate of a single model is ten times its base rate.
  */
 final class DemandTrace {
     private static final double BURST_FACTOR = 10;
@@ -24,52 +25,60 @@
     }
 
     /**
-     * Draws a trace.
+     * Draws a demand trace.
      *
-     * @param seed the seed
-     * @param models the models
-     * @param seconds how long
-     * @param meanPerSecond the mean of all models together
-     * @param peak how far the shared rise goes above the mean, 0 to 1
+     * @param seed the seed of the random numbers
+     * @param models the models, in the order in which their rates are drawn
+     * @param seconds the length of the trace in seconds
+     * @param meanPerSecond the mean request rate of all models together, per second
+     * @param relativeAmplitude the amplitude of the common rise and fall as a fraction of the base
+     *     rate, 0 to 1
      * @return the trace
      */
     static DemandTrace of(
-            long seed, List<ModelId> models, int seconds, double meanPerSecond, double peak) {
+            long seed,
+            List<ModelId> models,
+            int seconds,
+            double meanPerSecond,
+            double relativeAmplitude) {
         Random random = new Random(seed);
         Map<ModelId, double[]> rates = new HashMap<>();
-        models.forEach(model -> rates.put(model, shape(random, seconds, peak)));
+        models.forEach(model -> rates.put(model, drawRates(random, seconds, relativeAmplitude)));
         double sum = rates.values().stream().flatMapToDouble(Arrays::stream).sum();
         double scale = meanPerSecond * seconds / sum;
         rates.values()
                 .forEach(
-                        one -> {
+                        modelRates -> {
                             for (int second = 0; second < seconds; second++) {
-                                one[second] *= scale;
+                                modelRates[second] *= scale;
                             }
                         });
         return new DemandTrace(rates);
     }
 
-    private static double[] shape(Random random, int seconds, double peak) {
+    private static double[] drawRates(Random random, int seconds, double relativeAmplitude) {
         double base = Math.exp(random.nextGaussian());
-        double[] rate = new double[seconds];
+        double[] rates = new double[seconds];
         for (int second = 0; second < seconds; second++) {
-            rate[second] = base * (1 - peak * Math.cos(2 * Math.PI * second / seconds));
+            rates[second] =
+                    base * (1 - relativeAmplitude * Math.cos(2 * Math.PI * second / seconds));
         }
         int bursts = (int) Math.round(BURSTS_PER_MODEL_AND_HOUR * seconds / 3_600);
         for (int burst = 0; burst < bursts; burst++) {
-            int from = random.nextInt(seconds);
-            int length =
+            int startSecond = random.nextInt(seconds);
+            int burstSeconds =
                     SHORTEST_BURST_SECONDS
                             + random.nextInt(LONGEST_BURST_SECONDS - SHORTEST_BURST_SECONDS);
-            for (int second = from; second < Math.min(seconds, from + length); second++) {
-                rate[second] = base * BURST_FACTOR;
+            for (int second = startSecond;
+                    second < Math.min(seconds, startSecond + burstSeconds);
+                    second++) {
+                rates[second] = base * BURST_FACTOR;
             }
         }
-        return rate;
+        return rates;
     }
 
-    double perSecond(ModelId model, int second) {
+    double requestsPerSecond(ModelId model, int second) {
         return rates.get(model)[second];
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/trace/FakeEngine.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/trace/FakeEngine.java
@@ -16,7 +16,10 @@
 import org.tamaracktrack.core.log.LogEntry.Placement;
 import org.tamaracktrack.core.placement.TargetStatus;
 
-/** An engine and the process beside it: memory by accelerator, loads, and a queue. */
+/**
+ * A fake of an engine and its target daemon: the memory of each accelerator, loads of models and
+ * adapters, and a queue of requests.
+ */
 final class FakeEngine {
     private static final double MEBIBYTES_PER_SECOND = 1_000;
 
@@ -29,22 +32,24 @@
     private int unloads;
     private boolean up = true;
 
-    /** A copy in memory or on its way; its adapters are loaded after it, one by one. */
+    /**
+     * A copy of a model that is resident or loading. Its adapters are loaded after it, one by one.
+     */
     private static final class Copy {
-        private final int accelerator;
+        private final int acceleratorIndex;
         private final long mebibytes;
-        private final List<Double> remaining;
+        private final List<Double> remainingMebibytes;
         private boolean transferring;
-        private int usedAtSecond;
+        private int lastUsedSecond;
 
-        private Copy(int accelerator, long mebibytes, List<Double> remaining) {
-            this.accelerator = accelerator;
+        private Copy(int acceleratorIndex, long mebibytes, List<Double> remainingMebibytes) {
+            this.acceleratorIndex = acceleratorIndex;
             this.mebibytes = mebibytes;
-            this.remaining = remaining;
+            this.remainingMebibytes = remainingMebibytes;
         }
 
         private boolean ready() {
-            return remaining.isEmpty();
+            return remainingMebibytes.isEmpty();
         }
     }
 
@@ -58,9 +63,9 @@
         return target;
     }
 
-    void lose() {
+    void fail() {
         up = false;
-        copies.values().stream().filter(copy -> copy.transferring).forEach(copy -> store.end());
+        copies.values().stream().filter(copy -> copy.transferring).forEach(copy -> store.finish());
         copies.clear();
         queued = 0;
     }
@@ -73,24 +78,24 @@
         return up && copies.containsKey(model) && copies.get(model).ready();
     }
 
-    boolean has(ModelId model) {
+    boolean holds(ModelId model) {
         return copies.containsKey(model);
     }
 
     double waitSeconds() {
-        return Math.max(0, queued - TraceUser.SLOTS)
+        return Math.max(0, queued - TraceUser.SLOTS_PER_ENGINE)
                 * TraceUser.SECONDS_PER_REQUEST
-                / TraceUser.SLOTS;
+                / TraceUser.SLOTS_PER_ENGINE;
     }
 
-    void take(ModelId model, int second) {
+    void enqueue(ModelId model, int second) {
         queued++;
-        copies.get(model).usedAtSecond = second;
+        copies.get(model).lastUsedSecond = second;
     }
 
-    /** A second passes: requests are served, loads go on. */
-    void second() {
-        double served = TraceUser.SLOTS / TraceUser.SECONDS_PER_REQUEST;
+    /** Serves requests and continues loads for one second. */
+    void advanceOneSecond() {
+        double served = TraceUser.SLOTS_PER_ENGINE / TraceUser.SECONDS_PER_REQUEST;
         queued = Math.max(0, queued - Math.min(served, queued / TraceUser.SECONDS_PER_REQUEST));
         copies.values().forEach(this::transfer);
     }
@@ -99,94 +104,120 @@
         if (copy.ready()) {
             return;
         }
-        if (!copy.transferring && store.start()) {
+        if (!copy.transferring && store.tryStart()) {
             copy.transferring = true;
             loads++;
         }
         if (!copy.transferring) {
             return;
         }
-        copy.remaining.set(0, copy.remaining.get(0) - MEBIBYTES_PER_SECOND * store.speed());
-        if (copy.remaining.get(0) <= 0) {
-            copy.remaining.remove(0);
+        copy.remainingMebibytes.set(
+                0,
+                copy.remainingMebibytes.get(0) - MEBIBYTES_PER_SECOND * store.transferFraction());
+        if (copy.remainingMebibytes.get(0) <= 0) {
+            copy.remainingMebibytes.remove(0);
             copy.transferring = false;
-            store.end();
+            store.finish();
         }
     }
 
-    /** Follows a plan: loads what it places here and unloads other copies where room is needed. */
-    void follow(Collection<Placement> plan, int second) {
-        Map<ModelId, Placement> planned =
+    /**
+     * Loads the copies that the plan places on this target and are not there, and unloads copies
+     * that the plan does not place here where memory is needed.
+     */
+    void applyPlan(Collection<Placement> plan, int second) {
+        Map<ModelId, Placement> plannedHere =
                 plan.stream()
-                        .filter(copy -> copy.target().equals(target.id()))
-                        .collect(Collectors.toMap(Placement::model, copy -> copy));
-        planned.values().stream()
-                .filter(copy -> !copies.containsKey(copy.model()))
-                .forEach(copy -> load(copy.model(), copy.adapters(), planned.keySet(), second));
+                        .filter(placement -> placement.target().equals(target.id()))
+                        .collect(Collectors.toMap(Placement::model, placement -> placement));
+        plannedHere.values().stream()
+                .filter(placement -> !copies.containsKey(placement.model()))
+                .forEach(
+                        placement ->
+                                load(
+                                        placement.model(),
+                                        placement.adapters(),
+                                        plannedHere.keySet(),
+                                        second));
     }
 
-    /** Loads a model for a waiting request, in place of the least recently used. */
-    boolean loadOnDemand(ModelId model, int second, Set<ModelId> keep) {
+    /**
+     * Loads a model and its adapters for a waiting request. If memory is short, evicts the least
+     * recently used models that are not in {@code retained}. Returns whether the load was begun.
+     */
+    boolean loadOnDemand(ModelId model, int second, Set<ModelId> retained) {
         List<AdapterId> adapters =
                 configuration.adapters().values().stream()
                         .filter(adapter -> adapter.base().equals(model))
                         .map(Configuration.Adapter::id)
                         .toList();
-        return load(model, adapters, keep, second);
+        return load(model, adapters, retained, second);
     }
 
-    private boolean load(ModelId model, List<AdapterId> adapters, Set<ModelId> keep, int second) {
-        long weights = configuration.models().get(model).memoryMebibytes();
-        List<Double> transfers = new ArrayList<>(List.of((double) weights));
+    private boolean load(
+            ModelId model, List<AdapterId> adapters, Set<ModelId> retained, int second) {
+        long weightsMebibytes = configuration.models().get(model).memoryMebibytes();
+        List<Double> transferMebibytes = new ArrayList<>(List.of((double) weightsMebibytes));
         adapters.forEach(
-                one -> transfers.add((double) configuration.adapters().get(one).memoryMebibytes()));
-        long size = (long) transfers.stream().mapToDouble(Double::doubleValue).sum();
-        Optional<Integer> accelerator = room(size, keep);
+                adapter ->
+                        transferMebibytes.add(
+                                (double) configuration.adapters().get(adapter).memoryMebibytes()));
+        long mebibytes = (long) transferMebibytes.stream().mapToDouble(Double::doubleValue).sum();
+        Optional<Integer> accelerator = makeRoom(mebibytes, retained);
         accelerator.ifPresent(
-                at -> {
-                    Copy copy = new Copy(at, size, transfers);
-                    copy.usedAtSecond = second;
+                acceleratorIndex -> {
+                    Copy copy = new Copy(acceleratorIndex, mebibytes, transferMebibytes);
+                    copy.lastUsedSecond = second;
                     copies.put(model, copy);
                 });
         return accelerator.isPresent();
     }
 
-    private Optional<Integer> room(long size, Set<ModelId> keep) {
+    /** Returns an accelerator with enough free memory, after evicting copies if necessary. */
+    private Optional<Integer> makeRoom(long mebibytes, Set<ModelId> retained) {
         List<Integer> accelerators = new ArrayList<>();
-        for (int at = 0; at < target.accelerators().size(); at++) {
-            accelerators.add(at);
+        for (int index = 0; index < target.accelerators().size(); index++) {
+            accelerators.add(index);
         }
         return accelerators.stream()
-                .filter(at -> free(at) >= size)
-                .max(Comparator.comparingLong(this::free))
-                .or(() -> accelerators.stream().filter(at -> evict(at, size, keep)).findFirst());
+                .filter(index -> freeMebibytes(index) >= mebibytes)
+                .max(Comparator.comparingLong(this::freeMebibytes))
+                .or(
+                        () ->
+                                accelerators.stream()
+                                        .filter(index -> evictUntilFree(index, mebibytes, retained))
+                                        .findFirst());
     }
 
-    private long free(int accelerator) {
-        Configuration.Accelerator one = target.accelerators().get(accelerator);
-        return one.memoryMebibytes()
-                - one.cacheMebibytes()
+    private long freeMebibytes(int acceleratorIndex) {
+        Configuration.Accelerator accelerator = target.accelerators().get(acceleratorIndex);
+        return accelerator.memoryMebibytes()
+                - accelerator.cacheMebibytes()
                 - copies.values().stream()
-                        .filter(copy -> copy.accelerator == accelerator)
+                        .filter(copy -> copy.acceleratorIndex == acceleratorIndex)
                         .mapToLong(copy -> copy.mebibytes)
                         .sum();
     }
 
-    private boolean evict(int accelerator, long size, Set<ModelId> keep) {
+    private boolean evictUntilFree(int acceleratorIndex, long mebibytes, Set<ModelId> retained) {
         List<ModelId> idle =
                 copies.entrySet().stream()
-                        .filter(one -> one.getValue().accelerator == accelerator)
-                        .filter(one -> one.getValue().ready() && !keep.contains(one.getKey()))
-                        .sorted(Comparator.comparingInt(one -> one.getValue().usedAtSecond))
+                        .filter(entry -> entry.getValue().acceleratorIndex == acceleratorIndex)
+                        .filter(
+                                entry ->
+                                        entry.getValue().ready()
+                                                && !retained.contains(entry.getKey()))
+                        .sorted(Comparator.comparingInt(entry -> entry.getValue().lastUsedSecond))
                         .map(Map.Entry::getKey)
                         .toList();
-        long reachable =
-                free(accelerator) + idle.stream().mapToLong(one -> copies.get(one).mebibytes).sum();
-        if (reachable < size) {
+        long attainableMebibytes =
+                freeMebibytes(acceleratorIndex)
+                        + idle.stream().mapToLong(model -> copies.get(model).mebibytes).sum();
+        if (attainableMebibytes < mebibytes) {
             return false;
         }
         for (ModelId model : idle) {
-            if (free(accelerator) < size) {
+            if (freeMebibytes(acceleratorIndex) < mebibytes) {
                 unload(model);
             }
         }
@@ -214,8 +245,8 @@
         return new TargetStatus(
                 up,
                 false,
-                (int) Math.min(queued, TraceUser.SLOTS),
-                (int) Math.max(0, queued - TraceUser.SLOTS),
+                (int) Math.min(queued, TraceUser.SLOTS_PER_ENGINE),
+                (int) Math.max(0, queued - TraceUser.SLOTS_PER_ENGINE),
                 resident,
                 adapters,
                 loading);
--- a/bench/src/main/java/org/tamaracktrack/bench/trace/PlacementTrace.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/trace/PlacementSimulation.java
@@ -26,36 +26,36 @@
 import org.tamaracktrack.core.report.CounterName;
 import org.tamaracktrack.core.report.RequestOutcome;
 
-/** One run of a policy over a demand trace. */
-final class PlacementTrace {
-    private static final double LONGEST_WAIT_SECONDS = 2;
-    private static final int REPORT_SECONDS = 10;
+/** Simulates one placement policy, or loading on demand, over a demand trace in steps of 1 s. */
+final class PlacementSimulation {
+    private static final double MAX_WAIT_SECONDS = 2;
+    private static final int REPORT_INTERVAL_SECONDS = 10;
 
     private final Configuration configuration;
     private final DemandTrace demand;
     private final Optional<Planner> planner;
-    private final int lagSeconds;
-    private final int loseAtSecond;
+    private final int reportLagSeconds;
+    private final int engineLossSecond;
     private final Random arrivals;
     private final FakeWeightStore store;
     private final List<FakeEngine> engines;
     private final DemandEstimator estimator = DemandEstimator.empty();
     private final Map<String, Long> counters = new HashMap<>();
-    private final List<LogRecord> late = new ArrayList<>();
+    private final List<LogRecord> pendingReports = new ArrayList<>();
     private List<Placement> plan = List.of();
     private long sequence;
     private long offered;
     private long served;
-    private int warmLoads;
-    private int warmUnloads;
+    private int loadsDuringWarmUp;
+    private int unloadsDuringWarmUp;
 
     /**
-     * What a run gave, its first tenth left out.
+     * The result of a run without its first tenth, which is the warm-up.
      *
-     * @param offered requests that arrived
-     * @param served requests that began within the objective
-     * @param loads loads of models and adapters
-     * @param unloads unloads of models and adapters
+     * @param offered the number of requests that arrived
+     * @param served the number of requests that could start within the longest allowed wait
+     * @param loads the number of loads of models and adapters
+     * @param unloads the number of unloads of models and adapters
      */
     record Result(long offered, long served, int loads, int unloads) {
         double attainment() {
@@ -68,24 +68,27 @@
     }
 
     /**
-     * The circumstances of a run.
+     * The conditions of a run.
      *
-     * @param lagSeconds how late reports of demand arrive
-     * @param loseAtSecond when an engine is lost for good, -1 for never
+     * @param reportLagSeconds the delay of demand reports in seconds
+     * @param engineLossSecond the second at which an engine fails permanently, or -1 for never
      */
-    record Circumstances(int lagSeconds, int loseAtSecond) {}
+    record Conditions(int reportLagSeconds, int engineLossSecond) {}
 
-    PlacementTrace(
+    PlacementSimulation(
             Configuration configuration,
             DemandTrace demand,
             Optional<PlacementPolicy> policy,
-            Circumstances circumstances,
+            Conditions conditions,
             long seed) {
         this.configuration = configuration;
         this.demand = demand;
-        this.planner = policy.map(one -> Planner.of(one, Planner.DEFAULT_LOSS_GRACE_MILLIS));
-        this.lagSeconds = circumstances.lagSeconds();
-        this.loseAtSecond = circumstances.loseAtSecond();
+        this.planner =
+                policy.map(
+                        placementPolicy ->
+                                Planner.of(placementPolicy, Planner.DEFAULT_LOSS_GRACE_MILLIS));
+        this.reportLagSeconds = conditions.reportLagSeconds();
+        this.engineLossSecond = conditions.engineLossSecond();
         this.arrivals = new Random(seed);
         this.store = new FakeWeightStore(configuration.weightStore());
         this.engines =
@@ -96,72 +99,76 @@
     }
 
     Result run(int seconds) {
-        int warm = seconds / 10;
+        int warmUpSeconds = seconds / 10;
         for (int second = 0; second < seconds; second++) {
-            if (second == warm) {
+            if (second == warmUpSeconds) {
                 offered = 0;
                 served = 0;
-                warmLoads = engines.stream().mapToInt(FakeEngine::loads).sum();
-                warmUnloads = engines.stream().mapToInt(FakeEngine::unloads).sum();
+                loadsDuringWarmUp = engines.stream().mapToInt(FakeEngine::loads).sum();
+                unloadsDuringWarmUp = engines.stream().mapToInt(FakeEngine::unloads).sum();
             }
-            second(second);
+            simulateSecond(second);
         }
         return new Result(
                 offered,
                 served,
-                engines.stream().mapToInt(FakeEngine::loads).sum() - warmLoads,
-                engines.stream().mapToInt(FakeEngine::unloads).sum() - warmUnloads);
+                engines.stream().mapToInt(FakeEngine::loads).sum() - loadsDuringWarmUp,
+                engines.stream().mapToInt(FakeEngine::unloads).sum() - unloadsDuringWarmUp);
     }
 
-    private void second(int second) {
-        if (second == loseAtSecond) {
-            engines.get(0).lose();
+    private void simulateSecond(int second) {
+        if (second == engineLossSecond) {
+            engines.get(0).fail();
         }
-        store.second();
-        configuration.models().keySet().stream().sorted().forEach(model -> arrive(model, second));
-        engines.forEach(FakeEngine::second);
-        report(second);
-        planner.ifPresent(one -> plan(one, second));
+        store.refill();
+        configuration.models().keySet().stream()
+                .sorted()
+                .forEach(model -> generateArrivals(model, second));
+        engines.forEach(FakeEngine::advanceOneSecond);
+        publishReports(second);
+        planner.ifPresent(activePlanner -> updatePlan(activePlanner, second));
     }
 
-    private void arrive(ModelId model, int second) {
-        int count = poisson(demand.perSecond(model, second));
+    private void generateArrivals(ModelId model, int second) {
+        int count = drawPoisson(demand.requestsPerSecond(model, second));
         for (int request = 0; request < count; request++) {
             offered++;
-            count(model, RequestOutcome.OFFERED);
-            if (serve(model, second)) {
+            incrementCounter(model, RequestOutcome.OFFERED);
+            if (tryServe(model, second)) {
                 served++;
-                count(model, RequestOutcome.IN_CLASS);
+                incrementCounter(model, RequestOutcome.IN_CLASS);
             }
         }
     }
 
-    private boolean serve(ModelId model, int second) {
-        Optional<FakeEngine> home =
+    private boolean tryServe(ModelId model, int second) {
+        Optional<FakeEngine> leastBusy =
                 engines.stream()
                         .filter(engine -> engine.ready(model))
                         .min(Comparator.comparingDouble(FakeEngine::waitSeconds));
-        boolean inTime = home.filter(one -> one.waitSeconds() <= LONGEST_WAIT_SECONDS).isPresent();
-        if (inTime) {
-            home.get().take(model, second);
+        boolean withinObjective =
+                leastBusy.filter(engine -> engine.waitSeconds() <= MAX_WAIT_SECONDS).isPresent();
+        if (withinObjective) {
+            leastBusy.get().enqueue(model, second);
         } else if (planner.isEmpty()) {
             loadOnDemand(model, second);
         }
-        return inTime;
+        return withinObjective;
     }
 
-    // Without a plan, the least busy engine loads the model; one load at a time for each model.
+    // Loads the model on the least busy engine with room for it, one load of a model at a time.
     private void loadOnDemand(ModelId model, int second) {
-        boolean underWay = engines.stream().anyMatch(one -> one.has(model) && !one.ready(model));
-        if (!underWay) {
+        boolean loading =
+                engines.stream().anyMatch(engine -> engine.holds(model) && !engine.ready(model));
+        if (!loading) {
             engines.stream()
-                    .filter(one -> one.up() && !one.has(model))
+                    .filter(engine -> engine.up() && !engine.holds(model))
                     .sorted(Comparator.comparingDouble(FakeEngine::waitSeconds))
-                    .anyMatch(one -> one.loadOnDemand(model, second, Set.of()));
+                    .anyMatch(engine -> engine.loadOnDemand(model, second, Set.of()));
         }
     }
 
-    private int poisson(double mean) {
+    private int drawPoisson(double mean) {
         double limit = Math.exp(-mean);
         double product = arrivals.nextDouble();
         int count = 0;
@@ -172,7 +179,7 @@
         return count;
     }
 
-    private void count(ModelId model, RequestOutcome outcome) {
+    private void incrementCounter(ModelId model, RequestOutcome outcome) {
         String name =
                 new CounterName.Requests(
                                 ClientAccountId.of("all"),
@@ -183,10 +190,10 @@
         counters.merge(name, 1L, Long::sum);
     }
 
-    private void report(int second) {
-        if (second % REPORT_SECONDS == 0) {
+    private void publishReports(int second) {
+        if (second % REPORT_INTERVAL_SECONDS == 0) {
             long atMillis = second * 1_000L;
-            late.add(
+            pendingReports.add(
                     LogRecord.of(
                             sequence,
                             atMillis,
@@ -199,15 +206,17 @@
                                     false,
                                     counters)));
         }
-        late.stream().filter(record -> arrived(record, second)).forEach(estimator::handle);
-        late.removeIf(record -> arrived(record, second));
+        pendingReports.stream()
+                .filter(record -> isDelivered(record, second))
+                .forEach(estimator::handle);
+        pendingReports.removeIf(record -> isDelivered(record, second));
     }
 
-    private boolean arrived(LogRecord record, int second) {
-        return record.appendedAtMillis() + lagSeconds * 1_000L <= second * 1_000L;
+    private boolean isDelivered(LogRecord record, int second) {
+        return record.appendedAtMillis() + reportLagSeconds * 1_000L <= second * 1_000L;
     }
 
-    private void plan(Planner one, int second) {
+    private void updatePlan(Planner activePlanner, int second) {
         Map<TargetId, TargetStatus> statuses =
                 engines.stream()
                         .collect(
@@ -216,10 +225,10 @@
         estimator.observeRunning(
                 statuses.values().stream().mapToInt(TargetStatus::running).sum(), 1_000);
         plan =
-                one.next(
+                activePlanner.next(
                         plan,
                         new PlanningView(
                                 second * 1_000L, configuration, statuses, estimator.demand()));
-        engines.stream().filter(FakeEngine::up).forEach(engine -> engine.follow(plan, second));
+        engines.stream().filter(FakeEngine::up).forEach(engine -> engine.applyPlan(plan, second));
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/trace/PlacementTraceCommand.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/trace/PlacementTraceCommand.java
@@ -13,10 +13,13 @@
 import org.tamaracktrack.core.placement.PlacementKind;
 import org.tamaracktrack.core.placement.PlacementPolicy;
 
-/** Prints attainment and moves of each policy over both users' demand, mean and spread of seeds. */
+/**
+ * The command {@code placement-trace}: prints the attainment and moves of each placement policy
+ * over the demand of both users, as mean and standard deviation over the seeds.
+ */
 public final class PlacementTraceCommand {
-    private static final int SECONDS = 3_600;
-    private static final double PEAK = 0.4;
+    private static final int RUN_SECONDS = 3_600;
+    private static final double RELATIVE_AMPLITUDE = 0.4;
 
     private final PrintStream out;
     private final int seeds;
@@ -29,8 +32,8 @@
     /**
      * Returns the command.
      *
-     * @param out where it prints
-     * @param seeds how many seeds each figure is the mean of
+     * @param out the stream to which tables are printed
+     * @param seeds the number of seeds over which each figure is averaged
      * @return the command
      */
     public static PlacementTraceCommand of(PrintStream out, int seeds) {
@@ -38,129 +41,145 @@
     }
 
     /**
-     * Prints the policies side by side.
+     * Prints a table for each user and scenario, with one row for each policy.
      *
-     * @param trials what to try
+     * @param selection the scenarios and the settings of the hysteresis policy to simulate
      */
-    void run(Trials trials) {
-        Arrays.stream(TraceUser.values()).forEach(user -> run(user, trials));
+    void run(Selection selection) {
+        Arrays.stream(TraceUser.values()).forEach(user -> run(user, selection));
     }
 
-    private void run(TraceUser user, Trials trials) {
-        for (Scenario scenario : Arrays.copyOf(Scenario.values(), trials.scenarios())) {
+    private void run(TraceUser user, Selection selection) {
+        for (TraceScenario scenario :
+                Arrays.copyOf(TraceScenario.values(), selection.scenarioCount())) {
             out.printf(
                     Locale.ROOT,
                     "%n%s, %s, %d seeds of %d s, mean (standard deviation)%n",
                     user.text(),
                     scenario.text,
                     seeds,
-                    SECONDS);
+                    RUN_SECONDS);
             out.println("| policy | served in class | per accelerator and hour | moves |");
             out.println("|---|---|---|---|");
             for (PlacementKind kind : List.of(PlacementKind.STATIC, PlacementKind.LRU)) {
-                row(kind.name(), results(user, scenario, 0, kind::policy));
+                printRow(kind.name(), simulateSeeds(user, scenario, 0, kind::policy));
             }
-            row("GREEDY", results(user, scenario, 0, PlacementKind.GREEDY::policy));
-            trials.hysteresis().forEach(trial -> row(user, scenario, trial));
+            printRow("GREEDY", simulateSeeds(user, scenario, 0, PlacementKind.GREEDY::policy));
+            selection.hysteresisSettings().forEach(settings -> printRow(user, scenario, settings));
         }
     }
 
-    private void row(TraceUser user, Scenario scenario, Trial trial) {
-        row(
+    private void printRow(TraceUser user, TraceScenario scenario, HysteresisSettings settings) {
+        printRow(
                 String.format(
                         Locale.ROOT,
                         "HYSTERESIS moveCost %.3g payback %d s patience %.1f",
-                        trial.moveCost(),
-                        trial.paybackSeconds(),
-                        trial.patience()),
-                results(
+                        settings.moveCost(),
+                        settings.paybackSeconds(),
+                        settings.persistenceFactor()),
+                simulateSeeds(
                         user,
                         scenario,
-                        trial.moveCost(),
+                        settings.moveCost(),
                         () ->
                                 Optional.of(
                                         HysteresisPlacement.of(
-                                                trial.paybackSeconds() * 1_000L,
-                                                trial.patience()))));
+                                                settings.paybackSeconds() * 1_000L,
+                                                settings.persistenceFactor()))));
     }
 
     /**
-     * What to try.
+     * The scenarios and policies to simulate.
      *
-     * @param scenarios how many of the scenarios, in their order
-     * @param hysteresis the settings of the hysteresis policy
+     * @param scenarioCount the number of scenarios, taken in their order
+     * @param hysteresisSettings the settings of the hysteresis policy, one row for each
      */
-    record Trials(int scenarios, List<Trial> hysteresis) {}
+    record Selection(int scenarioCount, List<HysteresisSettings> hysteresisSettings) {}
 
     /**
      * Settings of the hysteresis policy.
      *
-     * @param moveCost the weight of a move
-     * @param paybackSeconds the time over which a gain is weighed
-     * @param patience how long a change has to pay
+     * @param moveCost the cost of one load or unload, in requests served within the objective
+     * @param paybackSeconds the time over which the additional requests served are weighed against
+     *     the cost of the moves, in seconds
+     * @param persistenceFactor how long a change must be profitable before it is made, as a
+     *     multiple of the expected duration of its moves
      */
-    record Trial(double moveCost, int paybackSeconds, double patience) {}
+    record HysteresisSettings(double moveCost, int paybackSeconds, double persistenceFactor) {}
 
-    private enum Scenario {
+    private enum TraceScenario {
         LIGHT("0.7 of capacity", 0.7, 2, -1),
         FULL("1.0 of capacity", 1.0, 2, -1),
         HEAVY("1.5 of capacity", 1.5, 2, -1),
         LAG("0.7 of capacity, reports lag 10 s", 0.7, 10, -1),
-        LOSS("0.7 of capacity, an engine lost at half time", 0.7, 2, SECONDS / 2);
+        LOSS("0.7 of capacity, an engine lost at half time", 0.7, 2, RUN_SECONDS / 2);
 
         private final String text;
-        private final double load;
-        private final PlacementTrace.Circumstances circumstances;
+        private final double loadFactor;
+        private final PlacementSimulation.Conditions conditions;
 
-        Scenario(String text, double load, int lagSeconds, int loseAtSecond) {
+        TraceScenario(String text, double loadFactor, int reportLagSeconds, int engineLossSecond) {
             this.text = text;
-            this.load = load;
-            this.circumstances = new PlacementTrace.Circumstances(lagSeconds, loseAtSecond);
+            this.loadFactor = loadFactor;
+            this.conditions =
+                    new PlacementSimulation.Conditions(reportLagSeconds, engineLossSecond);
         }
     }
 
-    /** Makes a policy without history. */
-    private interface NewPolicy {
-        Optional<PlacementPolicy> get();
+    /** Creates a policy without history for each run; empty stands for loading on demand. */
+    private interface PolicyFactory {
+        Optional<PlacementPolicy> create();
     }
 
-    private List<PlacementTrace.Result> results(
-            TraceUser user, Scenario scenario, double moveCost, NewPolicy policy) {
+    private List<PlacementSimulation.Result> simulateSeeds(
+            TraceUser user, TraceScenario scenario, double moveCost, PolicyFactory policyFactory) {
         return IntStream.range(0, seeds)
                 .parallel()
-                .mapToObj(seed -> result(user, scenario, moveCost, policy, seed))
+                .mapToObj(seed -> simulate(user, scenario, moveCost, policyFactory, seed))
                 .toList();
     }
 
-    private static PlacementTrace.Result result(
-            TraceUser user, Scenario scenario, double moveCost, NewPolicy policy, int seed) {
+    private static PlacementSimulation.Result simulate(
+            TraceUser user,
+            TraceScenario scenario,
+            double moveCost,
+            PolicyFactory policyFactory,
+            int seed) {
         Configuration configuration = user.configuration(seed, moveCost);
         List<ModelId> models = configuration.models().keySet().stream().sorted().toList();
         DemandTrace demand =
                 DemandTrace.of(
-                        seed, models, SECONDS, scenario.load * TraceUser.capacityPerSecond(), PEAK);
-        return new PlacementTrace(configuration, demand, policy.get(), scenario.circumstances, seed)
-                .run(SECONDS);
+                        seed,
+                        models,
+                        RUN_SECONDS,
+                        scenario.loadFactor * TraceUser.capacityPerSecond(),
+                        RELATIVE_AMPLITUDE);
+        return new PlacementSimulation(
+                        configuration, demand, policyFactory.create(), scenario.conditions, seed)
+                .run(RUN_SECONDS);
     }
 
-    private void row(String name, List<PlacementTrace.Result> results) {
+    private void printRow(String name, List<PlacementSimulation.Result> results) {
         out.printf(
                 Locale.ROOT,
                 "| %s | %s | %s | %s |%n",
                 name,
-                spread(results, "%.4f", PlacementTrace.Result::attainment),
-                spread(results, "%.0f", one -> one.served() / 0.9 / TraceUser.accelerators()),
-                spread(results, "%.0f", PlacementTrace.Result::moves));
+                formatMeanAndDeviation(results, "%.4f", PlacementSimulation.Result::attainment),
+                formatMeanAndDeviation(
+                        results,
+                        "%.0f",
+                        result -> result.served() / 0.9 / TraceUser.acceleratorCount()),
+                formatMeanAndDeviation(results, "%.0f", PlacementSimulation.Result::moves));
     }
 
-    private static String spread(
-            List<PlacementTrace.Result> results,
+    private static String formatMeanAndDeviation(
+            List<PlacementSimulation.Result> results,
             String format,
-            ToDoubleFunction<PlacementTrace.Result> value) {
+            ToDoubleFunction<PlacementSimulation.Result> value) {
         double mean = results.stream().mapToDouble(value).average().orElse(0);
         double variance =
                 results.stream()
-                        .mapToDouble(one -> Math.pow(value.applyAsDouble(one) - mean, 2))
+                        .mapToDouble(result -> Math.pow(value.applyAsDouble(result) - mean, 2))
                         .average()
                         .orElse(0);
         return String.format(Locale.ROOT, format, mean)
--- a/bench/src/main/java/org/tamaracktrack/bench/trace/TraceFlags.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/trace/TraceFlags.java
@@ -6,36 +6,48 @@
 
 /** The flags of the command {@code placement-trace}. */
 public class TraceFlags {
-    @Parameter(names = "--seeds", description = "how many seeds each figure is the mean of")
+    @Parameter(
+            names = "--seeds",
+            description = "number of seeds over which each figure is averaged")
     private int seeds = 10;
 
-    @Parameter(names = "--move-cost", description = "weights of a move to try")
+    @Parameter(names = "--move-cost", description = "costs of a move to try, in requests")
     private List<Double> moveCosts = List.of(0.1, 1.0, 5.0, 20.0, 100.0, 500.0);
 
-    @Parameter(names = "--payback-seconds", description = "payback times to try")
+    @Parameter(names = "--payback-seconds", description = "payback times to try, in seconds")
     private List<Integer> paybackSeconds = List.of(120);
 
-    @Parameter(names = "--patience", description = "how long a change has to pay, to try")
-    private List<Double> patience = List.of(1.0);
+    @Parameter(
+            names = "--patience",
+            description = "persistence factors to try: how long a change must be profitable")
+    private List<Double> persistenceFactors = List.of(1.0);
 
-    @Parameter(names = "--scenarios", description = "how many of the scenarios")
+    @Parameter(names = "--scenarios", description = "number of scenarios, in their order")
     private int scenarios = 5;
 
-    /** Prints the tables. */
+    /** Runs the simulations and prints their tables to standard output. */
     public final void print() {
-        List<PlacementTraceCommand.Trial> trials =
+        List<PlacementTraceCommand.HysteresisSettings> settings =
                 paybackSeconds.stream()
                         .flatMap(
                                 payback ->
-                                        patience.stream()
-                                                .flatMap(factor -> trials(payback, factor)))
+                                        persistenceFactors.stream()
+                                                .flatMap(
+                                                        persistenceFactor ->
+                                                                settingsForEachMoveCost(
+                                                                        payback,
+                                                                        persistenceFactor)))
                         .toList();
         PlacementTraceCommand.of(System.out, seeds)
-                .run(new PlacementTraceCommand.Trials(scenarios, trials));
+                .run(new PlacementTraceCommand.Selection(scenarios, settings));
     }
 
-    private Stream<PlacementTraceCommand.Trial> trials(int payback, double factor) {
+    private Stream<PlacementTraceCommand.HysteresisSettings> settingsForEachMoveCost(
+            int paybackTime, double persistenceFactor) {
         return moveCosts.stream()
-                .map(cost -> new PlacementTraceCommand.Trial(cost, payback, factor));
+                .map(
+                        cost ->
+                                new PlacementTraceCommand.HysteresisSettings(
+                                        cost, paybackTime, persistenceFactor));
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/trace/TraceUser.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/trace/TraceUser.java
@@ -17,15 +17,15 @@
 import org.tamaracktrack.core.id.ModelId;
 import org.tamaracktrack.core.id.TargetId;
 
-/** The two users at today's sizes. */
+/** The two users with the current sizes of their sites. */
 public enum TraceUser {
     CEVALLOS(26, 64, 11),
     KTIMATOLOGOS(21, 77, 16);
 
-    /** How many requests an engine runs at once. */
-    static final int SLOTS = 16;
+    /** The number of requests that an engine runs concurrently. */
+    static final int SLOTS_PER_ENGINE = 16;
 
-    /** How long a request takes. */
+    /** The duration of a request in seconds. */
     static final double SECONDS_PER_REQUEST = 2;
 
     private static final int ENGINES = 8;
@@ -45,28 +45,28 @@
     }
 
     /**
-     * Returns the requests a second that all engines together can serve.
+     * Returns the request rate that all engines can serve together.
      *
-     * @return requests a second
+     * @return requests per second
      */
     static double capacityPerSecond() {
-        return ENGINES * SLOTS / SECONDS_PER_REQUEST;
+        return ENGINES * SLOTS_PER_ENGINE / SECONDS_PER_REQUEST;
     }
 
     /**
-     * Returns the number of accelerators.
+     * Returns the number of accelerators of all engines together.
      *
-     * @return how many
+     * @return the number of accelerators
      */
-    static int accelerators() {
+    static int acceleratorCount() {
         return ENGINES * ACCELERATORS_PER_ENGINE;
     }
 
     /**
-     * Returns a configuration with sizes drawn from a seed.
+     * Returns a configuration with sizes of models and adapters drawn from a seed.
      *
-     * @param seed the seed
-     * @param moveCost the weight of a move
+     * @param seed the seed of the random numbers
+     * @param moveCost the cost of one load or unload, in requests served within the objective
      * @return the configuration
      */
     Configuration configuration(long seed, double moveCost) {
@@ -76,7 +76,7 @@
                         models,
                         index ->
                                 new Configuration.Model(
-                                        model(index), "1", 4_000 + 1_000L * random.nextInt(5)),
+                                        modelId(index), "1", 4_000 + 1_000L * random.nextInt(5)),
                         Configuration.Model::id);
         Map<AdapterId, Configuration.Adapter> adaptersById =
                 byId(
@@ -84,7 +84,7 @@
                         index ->
                                 new Configuration.Adapter(
                                         AdapterId.of("adapter-" + index),
-                                        model(index % models),
+                                        modelId(index % models),
                                         "1",
                                         64L * (1 + random.nextInt(3))),
                         Configuration.Adapter::id);
@@ -100,7 +100,7 @@
                 Map.of());
     }
 
-    private static ModelId model(int index) {
+    private static ModelId modelId(int index) {
         return ModelId.of("model-" + index);
     }
 
@@ -108,9 +108,9 @@
         List<Configuration.Accelerator> accelerators =
                 IntStream.range(0, ACCELERATORS_PER_ENGINE)
                         .mapToObj(
-                                one ->
+                                acceleratorIndex ->
                                         new Configuration.Accelerator(
-                                                AcceleratorId.of("a" + one),
+                                                AcceleratorId.of("a" + acceleratorIndex),
                                                 ACCELERATOR_MEBIBYTES,
                                                 CACHE_MEBIBYTES))
                         .toList();
@@ -120,15 +120,15 @@
                 HostId.of("host-" + index),
                 DataCentreId.of("dc-" + index % 3),
                 "127.0.0.1:1",
-                SLOTS,
+                SLOTS_PER_ENGINE,
                 accelerators,
                 true,
                 Optional.empty());
     }
 
-    private static <K, V> Map<K, V> byId(int count, IntFunction<V> make, Function<V, K> id) {
+    private static <K, V> Map<K, V> byId(int count, IntFunction<V> factory, Function<V, K> id) {
         return IntStream.range(0, count)
-                .mapToObj(make)
+                .mapToObj(factory)
                 .collect(Collectors.toUnmodifiableMap(id, Function.identity()));
     }
 
