--- a/bench/src/main/java/org/tamaracktrack/bench/slope/Table.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/CostTable.java
@@ -3,19 +3,19 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Prints measured costs as tables. */
-final class Table {
+/** Prints measured costs as rows of titled tables. */
+final class CostTable {
     private final PrintStream out;
 
-    Table(PrintStream out) {
+    CostTable(PrintStream out) {
         this.out = out;
     }
 
-    void title(String title) {
+    void printTitle(String title) {
         out.printf("%n%s%n", title);
     }
 
-    void row(String size, Cost cost) {
+    void printRow(String size, CallCost cost) {
         out.printf(
                 Locale.ROOT,
                 "| %s | %.2f us (%.2f to %.2f) | %d B allocated |%n",
@@ -26,7 +26,7 @@
                 cost.allocatedBytes());
     }
 
-    void row(String size, long bytes, String meaning) {
+    void printRow(String size, long bytes, String meaning) {
         out.printf(Locale.ROOT, "| %s | %d B %s |%n", size, bytes, meaning);
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/DecisionSlopes.java
@@ -31,24 +31,24 @@
 import org.tamaracktrack.core.routing.RoutingQuery;
 import org.tamaracktrack.core.routing.RoutingTable;
 
-/** The processor time of each decision by its size. */
+/** Measures the processor time of each decision at several sizes. */
 final class DecisionSlopes {
-    private final Table table;
+    private final CostTable table;
 
-    private DecisionSlopes(Table table) {
+    private DecisionSlopes(CostTable table) {
         this.table = table;
     }
 
-    static void run(Table table) {
+    static void run(CostTable table) {
         DecisionSlopes slopes = new DecisionSlopes(table);
-        slopes.planner();
-        slopes.routing();
-        slopes.admission();
-        slopes.ledger();
+        slopes.measurePlanner();
+        slopes.measureRouting();
+        slopes.measureAdmission();
+        slopes.measureMemoryLedger();
     }
 
-    private void planner() {
-        table.title("one planner run, nothing to change, by models x targets");
+    private void measurePlanner() {
+        table.printTitle("one planner run, nothing to change, by models x targets");
         for (Fleet fleet :
                 List.of(
                         new Fleet(8, 26),
@@ -60,14 +60,14 @@
             List<Placement> plan = layout.placements();
             PlanningView view = fleet.view(configuration, layout, 1_000);
             Planner planner = Planner.of(PlacementKind.HYSTERESIS.policy().orElseThrow(), 15_000);
-            table.row(
+            table.printRow(
                     fleet.models() + " x " + fleet.targets() + ", " + plan.size() + " copies",
-                    Cost.of(() -> planner.next(plan, view)));
+                    CallCost.measure(() -> planner.next(plan, view)));
         }
     }
 
-    private void routing() {
-        table.title("one routing decision, by copies of the model (600 targets known)");
+    private void measureRouting() {
+        table.printTitle("one routing decision, by copies of the model (600 targets known)");
         for (int copies : List.of(1, 4, 16, 64)) {
             RoutingTable targets = routingTable(600, copies);
             EstimatedWaitPolicy policy = EstimatedWaitPolicy.of();
@@ -78,13 +78,14 @@
                             Optional.empty(),
                             OptionalLong.of(42));
             AtomicLong seed = new AtomicLong();
-            table.row(
+            table.printRow(
                     copies + " copies",
-                    Cost.of(
+                    CallCost.measure(
                             () ->
                                     policy.choose(
                                             query,
-                                            targets.candidates(query, one -> true, Set.of(), 100),
+                                            targets.candidates(
+                                                    query, target -> true, Set.of(), 100),
                                             seed.incrementAndGet())));
         }
     }
@@ -93,16 +94,16 @@
         RoutingTable table = RoutingTable.empty(DataCentreId.of("dc-0"));
         table.applyConfiguration(new Fleet(targets, 1_100).configuration());
         for (int index = 0; index < targets; index++) {
-            table.recordLoad(Fleet.load(index < copies ? 0 : index, 4), 0);
+            table.recordLoad(Fleet.loadReport(index < copies ? 0 : index, 4), 0);
             if (index < copies) {
-                table.recordLoad(sameModels(index), 0);
+                table.recordLoad(loadWithModelsOfFirstTarget(index), 0);
             }
         }
         return table;
     }
 
-    private static Message.Load sameModels(int index) {
-        var load = Fleet.load(0, 4);
+    private static Message.Load loadWithModelsOfFirstTarget(int index) {
+        var load = Fleet.loadReport(0, 4);
         return new Message.Load(
                 Fleet.target(index),
                 load.sequence(),
@@ -115,26 +116,30 @@
                 load.loading());
     }
 
-    private void admission() {
-        table.title("one arrival and one end at a busy target, by requests waiting");
+    private void measureAdmission() {
+        table.printTitle("one arrival and one end at a busy target, by requests waiting");
         for (int waiting : List.of(10, 100, 1_000, 10_000)) {
             FairAdmission admission = FairAdmission.of(limits());
-            AtomicLong next = new AtomicLong();
+            AtomicLong nextNumber = new AtomicLong();
             admission.handle(new AdmissionMessage.ReadyChanged(Set.of(need())), 0);
             for (int index = 0; index < waiting + 32; index++) {
-                admission.handle(new AdmissionMessage.Arrived(work(next.getAndIncrement())), 0);
+                admission.handle(
+                        new AdmissionMessage.Arrived(
+                                admissionRequest(nextNumber.getAndIncrement())),
+                        0);
             }
-            AtomicLong oldest = new AtomicLong();
-            table.row(
+            AtomicLong nextEnded = new AtomicLong();
+            table.printRow(
                     waiting + " waiting",
-                    Cost.of(
+                    CallCost.measure(
                             () -> {
                                 admission.handle(
-                                        new AdmissionMessage.Arrived(work(next.getAndIncrement())),
+                                        new AdmissionMessage.Arrived(
+                                                admissionRequest(nextNumber.getAndIncrement())),
                                         1);
                                 return admission.handle(
                                         new AdmissionMessage.Ended(
-                                                attempt(oldest.getAndIncrement()),
+                                                attempt(nextEnded.getAndIncrement()),
                                                 OptionalInt.of(300)),
                                         1);
                             }));
@@ -164,7 +169,7 @@
         return Need.of(Fleet.model(0));
     }
 
-    private static AdmissionRequest work(long number) {
+    private static AdmissionRequest admissionRequest(long number) {
         return new AdmissionRequest(
                 attempt(number),
                 account(number),
@@ -175,23 +180,24 @@
                 Optional.of(need()));
     }
 
-    private void ledger() {
-        table.title("one reservation and its release in the memory ledger, by open reservations");
-        for (int open : List.of(1, 8, 64)) {
+    private void measureMemoryLedger() {
+        table.printTitle(
+                "one reservation and its release in the memory ledger, by open reservations");
+        for (int openReservations : List.of(1, 8, 64)) {
             MemoryLedger ledger = MemoryLedger.empty();
             AcceleratorId accelerator = AcceleratorId.of("a0");
             ledger.updateCommitted(accelerator, 1_000_000, 0);
-            for (int index = 0; index < open; index++) {
+            for (int index = 0; index < openReservations; index++) {
                 ledger.reserve(OrderId.of("open-" + index), accelerator, 10);
             }
             OrderId order = OrderId.of("order");
-            table.row(
-                    open + " open",
-                    Cost.of(
+            table.printRow(
+                    openReservations + " open",
+                    CallCost.measure(
                             () -> {
-                                boolean done = ledger.reserve(order, accelerator, 10);
+                                boolean reserved = ledger.reserve(order, accelerator, 10);
                                 ledger.release(order);
-                                return done;
+                                return reserved;
                             }));
         }
     }
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/Fleet.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/Fleet.java
@@ -26,12 +26,16 @@
 import org.tamaracktrack.core.placement.TargetStatus;
 
 /**
- * Configurations, states and messages of a given size, with the proportions of the size designed
- * for: 600 engines of 8 accelerators, 1,100 models, two adapters for each.
+ * Creates configurations, states and messages of a given size, in the proportions of the largest
+ * size that the system is designed for: 600 engines with 8 accelerators each, and 1,100 models with
+ * two adapters each.
+ *
+ * @param targets the number of engines
+ * @param models the number of models
  */
 record Fleet(int targets, int models) {
     static final RequestClassId INTERACTIVE = RequestClassId.of("interactive");
-    private static final int ACCELERATORS = 8;
+    private static final int ACCELERATORS_PER_TARGET = 8;
 
     static ModelId model(int index) {
         return ModelId.of("model-" + index);
@@ -67,11 +71,13 @@
 
     private static Configuration.Target engine(int index) {
         List<Configuration.Accelerator> accelerators =
-                IntStream.range(0, ACCELERATORS)
+                IntStream.range(0, ACCELERATORS_PER_TARGET)
                         .mapToObj(
-                                one ->
+                                acceleratorIndex ->
                                         new Configuration.Accelerator(
-                                                AcceleratorId.of("a" + one), 24_000, 6_000))
+                                                AcceleratorId.of("a" + acceleratorIndex),
+                                                24_000,
+                                                6_000))
                         .toList();
         return new Configuration.Target(
                 target(index),
@@ -85,13 +91,13 @@
                 Optional.empty());
     }
 
-    private static <K, V> Map<K, V> byId(int count, IntFunction<V> make, Function<V, K> id) {
+    private static <K, V> Map<K, V> byId(int count, IntFunction<V> factory, Function<V, K> id) {
         return IntStream.range(0, count)
-                .mapToObj(make)
+                .mapToObj(factory)
                 .collect(Collectors.toUnmodifiableMap(id, Function.identity()));
     }
 
-    /** A view in which every model has demand and everything planned is in memory. */
+    /** Returns a view in which every model has demand and all planned copies are resident. */
     PlanningView view(Configuration configuration, Layout layout, long nowMillis) {
         Map<TargetId, TargetStatus> statuses = new HashMap<>();
         for (int index = 0; index < targets; index++) {
@@ -118,7 +124,7 @@
         return demand;
     }
 
-    /** A layout as the default policy makes it from nothing. */
+    /** Returns the layout that the default policy plans when no copy exists. */
     Layout layout(Configuration configuration) {
         Layout layout = Layout.of(configuration, List.of());
         PlacementKind.HYSTERESIS
@@ -128,13 +134,13 @@
         return layout;
     }
 
-    static Message.Load load(int index, int residents) {
+    static Message.Load loadReport(int index, int residentModels) {
         List<ModelId> models = new ArrayList<>();
         List<AdapterId> adapters = new ArrayList<>();
-        for (int one = 0; one < residents; one++) {
-            models.add(model(index * residents + one));
-            adapters.add(AdapterId.of("adapter-" + 2 * one));
-            adapters.add(AdapterId.of("adapter-" + (2 * one + 1)));
+        for (int modelIndex = 0; modelIndex < residentModels; modelIndex++) {
+            models.add(model(index * residentModels + modelIndex));
+            adapters.add(AdapterId.of("adapter-" + 2 * modelIndex));
+            adapters.add(AdapterId.of("adapter-" + (2 * modelIndex + 1)));
         }
         return new Message.Load(
                 target(index),
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/MemorySlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/MemorySlopes.java
@@ -8,70 +8,70 @@
 import org.tamaracktrack.core.log.LogEntry;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** The heap that control state holds, by its size. */
+/** Measures the heap memory that control state retains at several sizes. */
 final class MemorySlopes {
     private static final int KEYS_PER_RECORD = 100;
 
-    private final Table table;
+    private final CostTable table;
 
-    private MemorySlopes(Table table) {
+    private MemorySlopes(CostTable table) {
         this.table = table;
     }
 
-    static void run(Table table) {
+    static void run(CostTable table) {
         MemorySlopes slopes = new MemorySlopes(table);
-        slopes.routing();
-        slopes.configuration();
-        slopes.plan();
-        slopes.claims();
+        slopes.measureRoutingTable();
+        slopes.measureConfiguration();
+        slopes.measurePlan();
+        slopes.measureClaims();
     }
 
-    private void routing() {
-        table.title("the routing table with its hints, by targets (4 models each)");
+    private void measureRoutingTable() {
+        table.printTitle("the routing table with its hints, by targets (4 models each)");
         for (int targets : List.of(50, 150, 600)) {
-            table.row(
+            table.printRow(
                     targets + " targets",
-                    Cost.retainedBytes(() -> DecisionSlopes.routingTable(targets, 4)),
+                    CallCost.retainedBytes(() -> DecisionSlopes.routingTable(targets, 4)),
                     "held, the configuration of 1,100 models included");
         }
     }
 
-    private void configuration() {
-        table.title("the configuration in force, by models and targets");
+    private void measureConfiguration() {
+        table.printTitle("the configuration in force, by models and targets");
         for (Fleet fleet : List.of(new Fleet(8, 26), new Fleet(300, 550), new Fleet(600, 1_100))) {
-            table.row(
+            table.printRow(
                     fleet.models() + " models, " + fleet.targets() + " targets",
-                    Cost.retainedBytes(fleet::configuration),
+                    CallCost.retainedBytes(fleet::configuration),
                     "held");
         }
     }
 
-    private void plan() {
-        table.title("the plan in force, by copies");
+    private void measurePlan() {
+        table.printTitle("the plan in force, by copies");
         for (Fleet fleet : List.of(new Fleet(8, 26), new Fleet(100, 184), new Fleet(600, 1_100))) {
             var configuration = fleet.configuration();
-            table.row(
+            table.printRow(
                     fleet.models() + " models, " + fleet.targets() + " targets",
-                    Cost.retainedBytes(() -> fleet.layout(configuration).placements()),
+                    CallCost.retainedBytes(() -> fleet.layout(configuration).placements()),
                     "held");
         }
     }
 
-    private void claims() {
-        table.title("claims of idempotency keys, by keys in the window");
+    private void measureClaims() {
+        table.printTitle("claims of idempotency keys, by keys in the window");
         for (int keys : List.of(10_000, 50_000, 200_000)) {
-            long bytes = Cost.retainedBytes(() -> claims(keys));
-            table.row(keys + " keys", bytes, "held, " + bytes / keys + " B for each");
+            long bytes = CallCost.retainedBytes(() -> claimRegister(keys));
+            table.printRow(keys + " keys", bytes, "held, " + bytes / keys + " B for each");
         }
     }
 
-    private static ClaimRegister claims(int keys) {
+    private static ClaimRegister claimRegister(int keys) {
         ClaimRegister register = ClaimRegister.empty(3_600_000);
         register.startAt(0);
         for (int record = 0; record < keys / KEYS_PER_RECORD; record++) {
-            int first = record * KEYS_PER_RECORD;
+            int firstKey = record * KEYS_PER_RECORD;
             List<LogEntry.Claim> claims =
-                    IntStream.range(first, first + KEYS_PER_RECORD)
+                    IntStream.range(firstKey, firstKey + KEYS_PER_RECORD)
                             .mapToObj(MemorySlopes::claim)
                             .toList();
             register.handle(
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/RecordSlopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/RecordSlopes.java
@@ -25,29 +25,29 @@
 import org.tamaracktrack.link.codec.Codecs;
 import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
-/** The size of each message and record, and the time to write and read it. */
+/** Measures the encoded size of messages and records, and the time to encode and decode them. */
 final class RecordSlopes {
-    private final Table table;
+    private final CostTable table;
 
-    private RecordSlopes(Table table) {
+    private RecordSlopes(CostTable table) {
         this.table = table;
     }
 
-    static void run(Table table) {
+    static void run(CostTable table) {
         RecordSlopes slopes = new RecordSlopes(table);
-        slopes.loads();
-        slopes.frames();
-        slopes.counters();
-        slopes.plans();
-        slopes.claims();
-        slopes.documents();
+        slopes.measureLoadReports();
+        slopes.measureFrames();
+        slopes.measureCounters();
+        slopes.measurePlans();
+        slopes.measureClaims();
+        slopes.measureDocuments();
     }
 
-    private void loads() {
-        table.title("a load report in MessagePack, by models in memory (two adapters each)");
+    private void measureLoadReports() {
+        table.printTitle("a load report in MessagePack, by models in memory (two adapters each)");
         for (int residents : List.of(2, 8, 16, 32)) {
-            Message.LoadReport report = new Message.LoadReport(Fleet.load(1, residents));
-            table.row(residents + " models", messagePack(report).length, "on the wire");
+            Message.LoadReport report = new Message.LoadReport(Fleet.loadReport(1, residents));
+            table.printRow(residents + " models", messagePack(report).length, "on the wire");
         }
     }
 
@@ -55,27 +55,30 @@
         return Codecs.encode(Codecs.messagePack(), message);
     }
 
-    private void frames() {
-        table.title("a frame, written and read, by bytes of its body");
+    private void measureFrames() {
+        table.printTitle("a frame, written and read, by bytes of its body");
         for (int bytes : List.of(64, 2_048, 16_384)) {
             byte[] chunk = messagePack(new Message.Chunk(attempt(), 1, new byte[bytes]));
-            table.row("chunk of " + bytes, chunk.length, "on the wire");
-            table.row(
+            table.printRow("chunk of " + bytes, chunk.length, "on the wire");
+            table.printRow(
                     "chunk of " + bytes + ", written",
-                    Cost.of(() -> messagePack(new Message.Chunk(attempt(), 1, new byte[bytes]))));
-            table.row(
+                    CallCost.measure(
+                            () -> messagePack(new Message.Chunk(attempt(), 1, new byte[bytes]))));
+            table.printRow(
                     "chunk of " + bytes + ", read",
-                    Cost.of(() -> Codecs.decode(Codecs.messagePack(), chunk, Message.class)));
+                    CallCost.measure(
+                            () -> Codecs.decode(Codecs.messagePack(), chunk, Message.class)));
         }
         byte[] submit = messagePack(submit());
-        table.row("request of 2,048", submit.length, "on the wire");
-        table.row("request of 2,048, written", Cost.of(() -> messagePack(submit())));
-        table.row(
+        table.printRow("request of 2,048", submit.length, "on the wire");
+        table.printRow("request of 2,048, written", CallCost.measure(() -> messagePack(submit())));
+        table.printRow(
                 "request of 2,048, read",
-                Cost.of(() -> Codecs.decode(Codecs.messagePack(), submit, Message.class)));
+                CallCost.measure(() -> Codecs.decode(Codecs.messagePack(), submit, Message.class)));
         byte[] finished =
-                messagePack(new Message.Finished(attempt(), 300, 500, 372, 12, Fleet.load(1, 8)));
-        table.row("end of an answer with a load of 8 models", finished.length, "on the wire");
+                messagePack(
+                        new Message.Finished(attempt(), 300, 500, 372, 12, Fleet.loadReport(1, 8)));
+        table.printRow("end of an answer with a load of 8 models", finished.length, "on the wire");
     }
 
     private static AttemptId attempt() {
@@ -102,60 +105,61 @@
                 65_536);
     }
 
-    private void counters() {
-        table.title("a counter record, by series");
+    private void measureCounters() {
+        table.printTitle("a counter record, by series");
         for (int series : List.of(100, 1_000, 5_000, 20_000)) {
-            LogEntry.CountersPublished record = countersOf(series, 1);
+            LogEntry.CountersPublished record = countersRecord(series, 1);
             byte[] json = Codecs.encode(Codecs.json(), record);
-            table.row(series + " series", json.length, "as JSON");
-            table.row(
+            table.printRow(series + " series", json.length, "as JSON");
+            table.printRow(
                     series + " series, written",
-                    Cost.of(() -> Codecs.encode(Codecs.json(), record)));
-            table.row(
+                    CallCost.measure(() -> Codecs.encode(Codecs.json(), record)));
+            table.printRow(
                     series + " series, read",
-                    Cost.of(() -> Codecs.decode(Codecs.json(), json, LogEntry.class)));
-            table.row(series + " series, summed and estimated", takenIn(series));
+                    CallCost.measure(() -> Codecs.decode(Codecs.json(), json, LogEntry.class)));
+            table.printRow(series + " series, summed and estimated", measureHandling(series));
         }
     }
 
-    private static Cost takenIn(int series) {
+    private static CallCost measureHandling(int series) {
         List<LogEntry.CountersPublished> records =
-                IntStream.range(0, 50).mapToObj(step -> countersOf(series, step)).toList();
+                IntStream.range(0, 50).mapToObj(step -> countersRecord(series, step)).toList();
         ReportRollUp rollUp = ReportRollUp.empty(180_000);
         DemandEstimator estimator = DemandEstimator.empty();
         long[] offset = {0};
-        return Cost.of(
+        return CallCost.measure(
                 () -> {
-                    long next = offset[0]++;
-                    LogEntry.CountersPublished of = records.get((int) (next % records.size()));
+                    long sequence = offset[0]++;
+                    LogEntry.CountersPublished prepared =
+                            records.get((int) (sequence % records.size()));
                     LogRecord record =
                             LogRecord.of(
-                                    next,
-                                    next * 100,
+                                    sequence,
+                                    sequence * 100,
                                     new LogEntry.CountersPublished(
-                                            of.incarnation(),
-                                            of.source(),
-                                            next,
+                                            prepared.incarnation(),
+                                            prepared.source(),
+                                            sequence,
                                             0,
-                                            next * 100,
+                                            sequence * 100,
                                             false,
-                                            of.counters()));
+                                            prepared.counters()));
                     rollUp.handle(record);
                     estimator.handle(record);
                     return record;
                 });
     }
 
-    private static LogEntry.CountersPublished countersOf(int series, int step) {
+    private static LogEntry.CountersPublished countersRecord(int series, int step) {
         Map<String, Long> counters = new HashMap<>();
         for (int index = 0; index < series; index++) {
-            counters.put(counter(index), 1_000L * step + index);
+            counters.put(counterName(index), 1_000L * step + index);
         }
         return new LogEntry.CountersPublished(
                 IncarnationId.of("entry-1"), "entry", step, 0, step * 10_000L, false, counters);
     }
 
-    private static String counter(int index) {
+    private static String counterName(int index) {
         List<RequestOutcome> outcomes =
                 List.of(
                         RequestOutcome.OFFERED,
@@ -170,8 +174,8 @@
                 .text();
     }
 
-    private void plans() {
-        table.title("a plan, by copies");
+    private void measurePlans() {
+        table.printTitle("a plan, by copies");
         for (Fleet fleet : List.of(new Fleet(8, 26), new Fleet(100, 184), new Fleet(600, 1_100))) {
             LogEntry.PlanPublished plan =
                     new LogEntry.PlanPublished(
@@ -180,18 +184,18 @@
                             1,
                             fleet.layout(fleet.configuration()).placements());
             byte[] json = Codecs.encode(Codecs.json(), plan);
-            table.row(plan.placements().size() + " copies", json.length, "as JSON");
-            table.row(
+            table.printRow(plan.placements().size() + " copies", json.length, "as JSON");
+            table.printRow(
                     plan.placements().size() + " copies, read",
-                    Cost.of(() -> Codecs.decode(Codecs.json(), json, LogEntry.class)));
+                    CallCost.measure(() -> Codecs.decode(Codecs.json(), json, LogEntry.class)));
         }
     }
 
-    private void claims() {
-        table.title("a group of claims, by keys");
+    private void measureClaims() {
+        table.printTitle("a group of claims, by keys");
         String hash = "0123456789abcdef".repeat(4);
         for (int keys : List.of(1, 10, 100)) {
-            LogEntry.ClaimsTaken group =
+            LogEntry.ClaimsTaken claimsTaken =
                     new LogEntry.ClaimsTaken(
                             IncarnationId.of("entry-1"),
                             IntStream.range(0, keys)
@@ -203,38 +207,39 @@
                                                             hash,
                                                             key))
                                     .toList());
-            table.row(keys + " keys", Codecs.encode(Codecs.json(), group).length, "as JSON");
+            table.printRow(
+                    keys + " keys", Codecs.encode(Codecs.json(), claimsTaken).length, "as JSON");
         }
     }
 
-    private void documents() {
-        table.title("a configuration document, by models (two adapters each) and targets");
+    private void measureDocuments() {
+        table.printTitle("a configuration document, by models (two adapters each) and targets");
         for (Fleet fleet :
                 List.of(
                         new Fleet(8, 26),
                         new Fleet(60, 110),
                         new Fleet(300, 550),
                         new Fleet(600, 1_100))) {
-            String json = ConfigurationDocuments.canonicalJson(tree(fleet));
+            String json = ConfigurationDocuments.canonicalJson(document(fleet));
             String size = fleet.models() + " models, " + fleet.targets() + " targets";
-            table.row(size, json.length(), "as JSON");
-            table.row(
+            table.printRow(size, json.length(), "as JSON");
+            table.printRow(
                     size + ", checked and expanded",
-                    Cost.of(
+                    CallCost.measure(
                             () ->
                                     ConfigurationReader.read(
                                             ConfigurationDocuments.parseJson(json))));
         }
     }
 
-    private static Map<String, Object> tree(Fleet fleet) {
+    private static Map<String, Object> document(Fleet fleet) {
         Configuration configuration = fleet.configuration();
-        Map<String, Object> tree = new LinkedHashMap<>();
-        tree.put("format", 1);
-        tree.put("moveCost", 1);
-        tree.put("idempotencyWindowMillis", 600_000);
-        tree.put("weightStore", Map.of("loadsPerSecond", 1.4, "concurrentLoads", 11));
-        tree.put(
+        Map<String, Object> document = new LinkedHashMap<>();
+        document.put("format", 1);
+        document.put("moveCost", 1);
+        document.put("idempotencyWindowMillis", 600_000);
+        document.put("weightStore", Map.of("loadsPerSecond", 1.4, "concurrentLoads", 11));
+        document.put(
                 "classes",
                 Map.of(
                         "interactive",
@@ -244,63 +249,65 @@
                                 "totalMillis", 30_000,
                                 "weight", 4,
                                 "queueLimit", 64)));
-        tree.put(
+        document.put(
                 "models",
-                named(
+                byName(
                         configuration.models().values(),
-                        one -> one.id().value(),
-                        one ->
+                        model -> model.id().value(),
+                        model ->
                                 Map.of(
                                         "version",
-                                        one.version(),
+                                        model.version(),
                                         "memoryMebibytes",
-                                        one.memoryMebibytes())));
-        tree.put(
+                                        model.memoryMebibytes())));
+        document.put(
                 "adapters",
-                named(
+                byName(
                         configuration.adapters().values(),
-                        one -> one.id().value(),
-                        one ->
+                        adapter -> adapter.id().value(),
+                        adapter ->
                                 Map.of(
                                         "base",
-                                        one.base().value(),
+                                        adapter.base().value(),
                                         "version",
-                                        one.version(),
+                                        adapter.version(),
                                         "memoryMebibytes",
-                                        one.memoryMebibytes())));
-        tree.put(
+                                        adapter.memoryMebibytes())));
+        document.put(
                 "targets",
-                named(
+                byName(
                         configuration.targets().values(),
-                        one -> one.id().value(),
+                        target -> target.id().value(),
                         RecordSlopes::target));
-        return tree;
+        return document;
     }
 
     private static Map<String, Object> target(Configuration.Target target) {
-        Map<String, Object> tree = new LinkedHashMap<>();
-        tree.put("kind", "engine");
-        tree.put("host", target.host().value());
-        tree.put("dataCentre", target.dataCentre().value());
-        tree.put("endpoint", "127.0.0.1:9000");
-        tree.put("concurrency", target.concurrency());
-        tree.put("checksFencing", true);
-        tree.put(
+        Map<String, Object> document = new LinkedHashMap<>();
+        document.put("kind", "engine");
+        document.put("host", target.host().value());
+        document.put("dataCentre", target.dataCentre().value());
+        document.put("endpoint", "127.0.0.1:9000");
+        document.put("concurrency", target.concurrency());
+        document.put("checksFencing", true);
+        document.put(
                 "accelerators",
-                named(
+                byName(
                         target.accelerators(),
-                        one -> one.id().value(),
-                        one ->
+                        accelerator -> accelerator.id().value(),
+                        accelerator ->
                                 Map.of(
                                         "memoryMebibytes",
-                                        one.memoryMebibytes(),
+                                        accelerator.memoryMebibytes(),
                                         "cacheMebibytes",
-                                        one.cacheMebibytes())));
-        return tree;
+                                        accelerator.cacheMebibytes())));
+        return document;
     }
 
-    private static <T> Map<String, Object> named(
-            Collection<T> all, Function<T, String> name, Function<T, Map<String, Object>> tree) {
-        return all.stream().collect(Collectors.toMap(name, tree));
+    private static <T> Map<String, Object> byName(
+            Collection<T> items,
+            Function<T, String> name,
+            Function<T, Map<String, Object>> properties) {
+        return items.stream().collect(Collectors.toMap(name, properties));
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/Slopes.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/Slopes.java
@@ -2,25 +2,25 @@
 
 import java.io.PrintStream;
 
-/** The command {@code slopes}: measures what docs/CAPACITY.md is worked out from. */
+/** The command {@code slopes}: measures the costs from which docs/CAPACITY.md is derived. */
 public final class Slopes {
-    private final Table table;
+    private final CostTable table;
 
-    private Slopes(Table table) {
+    private Slopes(CostTable table) {
         this.table = table;
     }
 
     /**
      * Returns the command.
      *
-     * @param out where it prints
+     * @param out the stream to which tables are printed
      * @return the command
      */
     public static Slopes of(PrintStream out) {
-        return new Slopes(new Table(out));
+        return new Slopes(new CostTable(out));
     }
 
-    /** Measures and prints. */
+    /** Measures and prints the costs of decisions, records and retained memory. */
     public void run() {
         DecisionSlopes.run(table);
         RecordSlopes.run(table);
--- a/bench/src/main/java/org/tamaracktrack/bench/slope/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/slope/package-info.java
@@ -1,2 +1,5 @@
-/** How the cost of each decision and record grows with its size, measured in this process alone. */
+/**
+ * Measurements of how the cost of decisions and records grows with their size, within a single
+ * process.
+ */
 package org.tamaracktrack.bench.slope;
