--- a/bench/src/main/java/org/tamaracktrack/bench/load/ResultTable.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/ResultTable.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.tamaracktrack.bench.measure.Quantiles;
+import org.tamaracktrack.bench.measure.LatencyHistogram;
 
 /** Formats the results of runs as a table, one row for each run. */
 public final class ResultTable {
@@ -71,7 +71,7 @@
     }
 
     private static List<String> cells(RunResult result) {
-        Quantiles firstTokenTimes = result.firstTokenTimes();
+        LatencyHistogram firstTokenTimes = result.firstTokenTimes();
         return List.of(
                 result.user().name(),
                 result.scenario().name().toLowerCase(Locale.ROOT),
@@ -84,11 +84,11 @@
                 result.attainmentByAccount().values().stream()
                         .map(ResultTable::formatNumber)
                         .collect(Collectors.joining(" / ")),
-                formatNumber(firstTokenTimes.at(50))
+                formatNumber(firstTokenTimes.percentileMillis(50))
                         + " / "
-                        + formatNumber(firstTokenTimes.at(95))
+                        + formatNumber(firstTokenTimes.percentileMillis(95))
                         + " / "
-                        + formatNumber(firstTokenTimes.at(99)),
+                        + formatNumber(firstTokenTimes.percentileMillis(99)),
                 formatCounts(result.moves()),
                 formatCounts(result.outcomes()),
                 Integer.toString(result.overcommits()),
--- a/bench/src/main/java/org/tamaracktrack/bench/load/RunResult.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/RunResult.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import org.tamaracktrack.bench.caller.Outcome;
-import org.tamaracktrack.bench.measure.Quantiles;
+import org.tamaracktrack.bench.measure.LatencyHistogram;
 
 /**
  * The result of one run.
@@ -18,8 +18,8 @@
  * @param loadFactor the peak demand as a multiple of the request rate that all engines can serve
  *     together
  * @param sentRequests all requests and their results
- * @param moves the number of loads and unloads of models and adapters, by kind
- * @param overcommits the number of orders after which an accelerator held more than fits its memory
+ * @param moves the number of loads and unloads of models and adapters, by kind and cause
+ * @param overcommits the number of orders that overcommitted the memory of an accelerator
  * @param reportDifference a description of the differences between the request report and the
  *     outcomes that callers observed
  * @param speed the speed of the experiment and the costs of a request
@@ -116,12 +116,12 @@
      *
      * @return the distribution of the times
      */
-    public Quantiles firstTokenTimes() {
-        Quantiles quantiles = Quantiles.empty();
+    public LatencyHistogram firstTokenTimes() {
+        LatencyHistogram histogram = LatencyHistogram.empty();
         requestsOfClass("interactive").stream()
                 .filter(request -> request.observation().outcome() == Outcome.WHOLE)
-                .forEach(request -> quantiles.add(request.firstByteMillis()));
-        return quantiles;
+                .forEach(request -> histogram.add(request.firstByteMillis()));
+        return histogram;
     }
 
     private List<OpenLoopLoad.SentRequest> requestsOfClass(String requestClass) {
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/Footprints.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/Footprints.java
@@ -14,11 +14,11 @@
 import org.tamaracktrack.bench.stack.RunningProgram;
 import org.tamaracktrack.bench.stack.SampleAccounts;
 
-/** What each daemon uses at rest and under load. */
+/** Measures the resources that each daemon uses at rest and under load. */
 public final class Footprints {
-    private static final Duration REST = Duration.ofSeconds(15);
-    private static final Duration LOAD = Duration.ofSeconds(15);
-    private static final int CALLERS_EACH = 16;
+    private static final Duration IDLE_TIME = Duration.ofSeconds(15);
+    private static final Duration LOAD_TIME = Duration.ofSeconds(15);
+    private static final int CALLERS_PER_ENTRY = 16;
 
     private final LocalStack stack;
     private final PrintStream out;
@@ -32,7 +32,7 @@
      * Returns a measurement.
      *
      * @param stack the running sample system
-     * @param out where to print
+     * @param out the stream to which results are printed
      * @return the measurement
      */
     public static Footprints of(LocalStack stack, PrintStream out) {
@@ -40,23 +40,25 @@
         return new Footprints(stack, out);
     }
 
-    /** Measures and prints. */
+    /** Measures and prints the footprint of each daemon, and the rate of the load. */
     public void run() {
-        Map<String, Footprint> start = footprints();
-        pause(REST);
-        print("at rest", start);
-        Map<String, Footprint> loaded = footprints();
-        long from = System.nanoTime();
+        Map<String, Footprint> beforeIdle = readFootprints();
+        pause(IDLE_TIME);
+        print("at rest", beforeIdle);
+        Map<String, Footprint> beforeLoad = readFootprints();
+        long startNanos = System.nanoTime();
         SteadyLoad load =
                 SteadyLoad.start(
                         stack.entries().stream().map(DaemonProcess::httpAddress).toList(),
-                        CALLERS_EACH,
+                        CALLERS_PER_ENTRY,
                         Footprints::request);
-        pause(LOAD);
-        print("under load", loaded);
-        int ended = load.stop().size();
-        double seconds = (System.nanoTime() - from) / 1e9;
-        out.printf("load: %d requests in %.1f s, %.0f/s%n", ended, seconds, ended / seconds);
+        pause(LOAD_TIME);
+        print("under load", beforeLoad);
+        int requestCount = load.stop().size();
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        out.printf(
+                "load: %d requests in %.1f s, %.0f/s%n",
+                requestCount, seconds, requestCount / seconds);
     }
 
     private static ModelRequest request(int number) {
@@ -64,10 +66,10 @@
         return models.get(number % models.size());
     }
 
-    private Map<String, Footprint> footprints() {
-        Map<String, Footprint> all = new LinkedHashMap<>();
-        programs().forEach((name, program) -> all.put(name, Footprint.of(program.pid())));
-        return all;
+    private Map<String, Footprint> readFootprints() {
+        Map<String, Footprint> footprints = new LinkedHashMap<>();
+        programs().forEach((name, program) -> footprints.put(name, Footprint.of(program.pid())));
+        return footprints;
     }
 
     private Map<String, RunningProgram> programs() {
@@ -78,22 +80,22 @@
         return programs;
     }
 
-    private void print(String what, Map<String, Footprint> before) {
-        footprints()
+    private void print(String phase, Map<String, Footprint> before) {
+        readFootprints()
                 .forEach(
                         (name, footprint) ->
                                 out.println(
                                         name
                                                 + " "
-                                                + what
+                                                + phase
                                                 + ": "
-                                                + footprint.since(before.get(name))));
+                                                + footprint.describeSince(before.get(name))));
     }
 
     private static void pause(Duration duration) {
-        long until = System.nanoTime() + duration.toNanos();
-        while (System.nanoTime() < until) {
-            LockSupport.parkNanos(until - System.nanoTime());
+        long deadlineNanos = System.nanoTime() + duration.toNanos();
+        while (System.nanoTime() < deadlineNanos) {
+            LockSupport.parkNanos(deadlineNanos - System.nanoTime());
         }
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/Measurements.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/Measurements.java
@@ -14,7 +14,7 @@
 import org.tamaracktrack.bench.stack.StackException;
 import org.tamaracktrack.bench.stack.StackPlan;
 
-/** Runs measurements, each on a fresh sample system. */
+/** Runs measurements, each on a newly started sample system. */
 public final class Measurements {
 
     private static final double TOKEN_MILLIS = 0.25;
@@ -23,46 +23,47 @@
     private Measurements() {}
 
     /**
-     * Runs measurements.
+     * Runs measurements one after another.
      *
-     * @param root the directory of the project
-     * @param out where to print
-     * @param wanted which of cost, footprint and recovery
-     * @return 0
+     * @param root the root directory of the project
+     * @param out the stream to which results are printed
+     * @param names the measurements to run: any of cost, footprint and recovery
+     * @return 0, the exit code
      */
-    public static int run(Path root, PrintStream out, List<String> wanted) {
+    public static int run(Path root, PrintStream out, List<String> names) {
         Objects.requireNonNull(root, "root is null");
         Path directory = root.resolve(".local");
         StackPlan plan =
                 StackPlan.sample(root, directory, TOKEN_MILLIS)
-                        .withDocument(unlimited(root, directory));
-        Map<String, Consumer<LocalStack>> all =
+                        .withDocument(documentWithoutRateLimit(root, directory));
+        Map<String, Consumer<LocalStack>> measurements =
                 Map.of(
-                        "cost", stack -> PathCost.of(stack, out).run(),
+                        "cost", stack -> PathOverhead.of(stack, out).run(),
                         "footprint", stack -> Footprints.of(stack, out).run(),
-                        "recovery", stack -> Recoveries.of(stack, plan.document(), out).run());
-        wanted.forEach(
-                what -> {
-                    out.println("== " + what);
+                        "recovery", stack -> RecoveryTimes.of(stack, plan.document(), out).run());
+        names.forEach(
+                name -> {
+                    out.println("== " + name);
                     try (LocalStack stack = LocalStack.start(plan)) {
                         SampleAccounts.awaitEveryModel(stack, START_LIMIT);
-                        all.get(what).accept(stack);
+                        measurements.get(name).accept(stack);
                     }
                 });
         return 0;
     }
 
-    // The account's rate would be measured otherwise, in place of the path.
-    private static Path unlimited(Path root, Path directory) {
-        Path changed = directory.resolve("measured-configuration.yaml");
+    // Otherwise the rate limit of the client account would determine the result.
+    private static Path documentWithoutRateLimit(Path root, Path directory) {
+        Path document = directory.resolve("measured-configuration.yaml");
         try {
             String sample = Files.readString(root.resolve("docs/sample-configuration.yaml"));
             Files.createDirectories(directory);
             Files.writeString(
-                    changed, sample.replace("ratePerSecond: 200", "ratePerSecond: 100000"));
-            return changed;
+                    document, sample.replace("ratePerSecond: 200", "ratePerSecond: 100000"));
+            return document;
         } catch (IOException failure) {
-            throw StackException.of("can't write " + changed, failure);
+            throw StackException.of(
+                    "cannot write the configuration for measurements to " + document, failure);
         }
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/Recoveries.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/RecoveryTimes.java
@@ -24,21 +24,21 @@
 import org.tamaracktrack.bench.stack.Waiting;
 import org.tamaracktrack.bench.stack.Web;
 
-/** How long the system takes to be whole again. */
-public final class Recoveries {
-    private static final Duration LIMIT = Duration.ofSeconds(60);
-    private static final int CALLERS_EACH = 4;
+/** Measures how long the system takes to recover from faults and to apply changes. */
+public final class RecoveryTimes {
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
+    private static final int CALLERS_PER_ENTRY = 4;
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final LocalStack stack;
     private final Path document;
     private final PrintStream out;
     private final Caller caller = Caller.of();
-    private Observation lastSeen;
-    private int prompts;
-    private int publications;
+    private Observation lastObservation;
+    private int promptCount;
+    private int publicationCount;
 
-    private Recoveries(LocalStack stack, Path document, PrintStream out) {
+    private RecoveryTimes(LocalStack stack, Path document, PrintStream out) {
         this.stack = stack;
         this.document = document;
         this.out = out;
@@ -48,40 +48,44 @@
      * Returns a measurement.
      *
      * @param stack the running sample system
-     * @param document the sample configuration
-     * @param out where to print
+     * @param document the file with the configuration of the system
+     * @param out the stream to which results are printed
      * @return the measurement
      */
-    public static Recoveries of(LocalStack stack, Path document, PrintStream out) {
+    public static RecoveryTimes of(LocalStack stack, Path document, PrintStream out) {
         Objects.requireNonNull(stack, "stack is null");
-        return new Recoveries(stack, document, out);
+        return new RecoveryTimes(stack, document, out);
     }
 
-    /** Measures and prints. */
+    /**
+     * Measures and prints each recovery time; a measurement that fails does not stop the others.
+     */
     public void run() {
         print("configuration in force at both entries, after publish returned", this::publish);
         print("configuration in force at both entries, after an outage", this::publishInOutage);
-        print("newcomer entry ready during a log outage, from its start", this::newcomer);
-        print("entry killed: from kill until its replacement is ready", this::killEntry);
-        print("target daemon killed and replaced: until its models answer", this::killTarget);
-        print("target with its host lost: until every model answers", this::loseTarget);
-        leaving();
+        print("newcomer entry ready during a log outage, from its start", this::startEntryInOutage);
+        print("entry killed: from kill until its replacement is ready", this::replaceKilledEntry);
+        print(
+                "target daemon killed and replaced: until its models answer",
+                this::replaceKilledTarget);
+        print("target with its host lost: until every model answers", this::loseTargetHost);
+        measureLeavingTarget();
     }
 
-    private interface Measured {
+    private interface Measurement {
         double millis();
     }
 
-    private void print(String what, Measured measured) {
+    private void print(String name, Measurement measurement) {
         try {
-            out.printf("%s: %.0f ms%n", what, measured.millis());
+            out.printf("%s: %.0f ms%n", name, measurement.millis());
         } catch (StackException failure) {
-            out.println(what + ": FAILED, " + failure.getMessage() + ", last " + lastSeen);
+            out.println(name + ": FAILED, " + failure.getMessage() + ", last " + lastObservation);
         }
-        heal();
+        restoreSystem();
     }
 
-    private void heal() {
+    private void restoreSystem() {
         stack.log().tell("/control/outage", "{\"on\":false}");
         stack.targets()
                 .forEach(
@@ -94,51 +98,55 @@
         SampleAccounts.toEveryModel("heal").forEach(request -> awaitAnswer(request.model()));
     }
 
-    private static double since(long start) {
-        return (System.nanoTime() - start) / NANOS_PER_MILLI;
+    private static double millisSince(long startNanos) {
+        return (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 
     private void awaitAnswer(String model) {
-        Waiting.until(model + " answers", LIMIT, () -> answers(model));
+        Waiting.until(model + " answers", TIMEOUT, () -> isAnswering(model));
     }
 
-    private boolean answers(String model) {
-        prompts++;
-        String prompt = "recovery " + prompts;
+    private boolean isAnswering(String model) {
+        promptCount++;
+        String prompt = "recovery " + promptCount;
         ModelRequest request =
                 SampleAccounts.toEveryModel(prompt).stream()
                         .filter(candidate -> candidate.model().equals(model))
                         .findFirst()
                         .orElseThrow();
         String address = stack.entry(1).httpAddress();
-        lastSeen = caller.send(address, request).join();
-        return lastSeen.outcome() == Outcome.WHOLE;
+        lastObservation = caller.send(address, request).join();
+        return lastObservation.outcome() == Outcome.WHOLE;
     }
 
     private double publish() {
         String model = publishNewModel();
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         awaitInForce(model);
-        return since(start);
+        return millisSince(startNanos);
     }
 
-    // The tool reads its record back, so the outage can only begin after it has returned; the
-    // entry daemons are paused meanwhile, and see the record first after outage and pause.
+    // The publishing command reads its record back, so the outage can only begin after the command
+    // has returned. The entry daemons are paused from before publishing until the outage has begun,
+    // so that they read the record only after the outage.
     private double publishInOutage() {
         stack.entries().forEach(entry -> entry.program().pause());
         String model = publishNewModel();
         stack.log().tell("/control/outage", "{\"on\":true}");
         stack.entries().forEach(entry -> entry.program().resume());
-        Waiting.until("entry is up", LIMIT, () -> stack.entry(0).ready());
+        Waiting.until(
+                "entry daemon is ready during the log outage",
+                TIMEOUT,
+                () -> stack.entry(0).ready());
         stack.log().tell("/control/outage", "{\"on\":false}");
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         awaitInForce(model);
-        return since(start);
+        return millisSince(startNanos);
     }
 
     private String publishNewModel() {
-        publications++;
-        String model = "extra-" + publications;
+        publicationCount++;
+        String model = "extra-" + publicationCount;
         try {
             String text =
                     Files.readString(document)
@@ -149,16 +157,17 @@
                                             + ": {version: \"1\", memoryMebibytes: 64}\n"
                                             + "  note-writer: {")
                             .replace("[order-reader, ", "[order-reader, " + model + ", ");
-            Path changed = Files.createTempFile("changed", ".yaml");
-            Files.writeString(changed, text);
-            CommandResult result = stack.command(stack.publishArguments(changed.toString()));
-            Files.delete(changed);
+            Path changedDocument = Files.createTempFile("changed", ".yaml");
+            Files.writeString(changedDocument, text);
+            CommandResult result =
+                    stack.command(stack.publishArguments(changedDocument.toString()));
+            Files.delete(changedDocument);
             if (result.status() != 0) {
-                throw StackException.of("publishing failed: " + result.output());
+                throw StackException.of("publishing the configuration failed: " + result.output());
             }
             return model;
         } catch (IOException failure) {
-            throw StackException.of("can't change " + document, failure);
+            throw StackException.of("cannot write a changed copy of " + document, failure);
         }
     }
 
@@ -168,7 +177,7 @@
                         entry ->
                                 Waiting.until(
                                         model + " is listed",
-                                        LIMIT,
+                                        TIMEOUT,
                                         () ->
                                                 Web.get(
                                                                 entry.httpAddress(),
@@ -178,46 +187,46 @@
                                                         .isPresent()));
     }
 
-    private double newcomer() {
+    private double startEntryInOutage() {
         stack.log().tell("/control/outage", "{\"on\":true}");
         stack.entry(0).program().kill();
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         DaemonProcess entry = stack.restartEntry(0);
-        Waiting.until("the newcomer is ready", LIMIT, entry::ready);
-        return since(start);
+        Waiting.until("entry daemon started during the log outage is ready", TIMEOUT, entry::ready);
+        return millisSince(startNanos);
     }
 
-    private double killEntry() {
-        long start = System.nanoTime();
+    private double replaceKilledEntry() {
+        long startNanos = System.nanoTime();
         stack.entry(0).program().kill();
         DaemonProcess entry = stack.restartEntry(0);
-        Waiting.until("the replacement is ready", LIMIT, entry::ready);
-        return since(start);
+        Waiting.until("replacement of the killed entry daemon is ready", TIMEOUT, entry::ready);
+        return millisSince(startNanos);
     }
 
-    private double killTarget() {
-        List<String> models = modelsAt("engine-1");
-        long start = System.nanoTime();
+    private double replaceKilledTarget() {
+        List<String> models = modelsOn("engine-1");
+        long startNanos = System.nanoTime();
         stack.target("engine-1").program().kill();
         stack.restartTarget("engine-1");
         models.forEach(this::awaitAnswer);
-        return since(start);
+        return millisSince(startNanos);
     }
 
-    private double loseTarget() {
-        List<String> models = modelsAt("engine-1");
-        long start = System.nanoTime();
+    private double loseTargetHost() {
+        List<String> models = modelsOn("engine-1");
+        long startNanos = System.nanoTime();
         stack.target("engine-1").program().kill();
         stack.standIn("engine-1").program().pause();
         try {
             models.forEach(this::awaitAnswer);
-            return since(start);
+            return millisSince(startNanos);
         } finally {
             stack.standIn("engine-1").program().resume();
         }
     }
 
-    private List<String> modelsAt(String target) {
+    private List<String> modelsOn(String target) {
         return stack.standIn(target).ask("/control/state").findValuesAsText("model").stream()
                 .filter(
                         model ->
@@ -226,42 +235,44 @@
                 .collect(Collectors.toList());
     }
 
-    private void leaving() {
+    private void measureLeavingTarget() {
         SteadyLoad load =
                 SteadyLoad.start(
                         stack.entries().stream().map(DaemonProcess::httpAddress).toList(),
-                        CALLERS_EACH,
+                        CALLERS_PER_ENTRY,
                         number -> {
-                            List<ModelRequest> all =
+                            List<ModelRequest> requests =
                                     SampleAccounts.toEveryModel("leaving " + number);
-                            return all.get(number % all.size());
+                            return requests.get(number % requests.size());
                         });
         load.await(50, exchange -> exchange.seen().outcome() == Outcome.WHOLE);
         RunningProgram daemon = stack.target("engine-2").program();
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         daemon.terminate();
-        double last = 0;
-        int runs = runsAt("engine-2");
+        double lastRunMillis = 0;
+        int runs = countRunsOn("engine-2");
         while (daemon.alive()) {
-            int now = runsAt("engine-2");
-            last = now > runs ? since(start) : last;
-            runs = now;
+            int currentRuns = countRunsOn("engine-2");
+            lastRunMillis = currentRuns > runs ? millisSince(startNanos) : lastRunMillis;
+            runs = currentRuns;
         }
-        out.printf("target leaving: last new work %.0f ms after SIGTERM%n", last);
-        out.printf("target leaving: daemon ended %.0f ms after SIGTERM%n", since(start));
-        Map<String, Long> notWhole =
+        out.printf("target leaving: last new work %.0f ms after SIGTERM%n", lastRunMillis);
+        out.printf("target leaving: daemon ended %.0f ms after SIGTERM%n", millisSince(startNanos));
+        Map<String, Long> requestsWithoutWholeAnswer =
                 load.stop().stream()
                         .map(SteadyLoad.Exchange::seen)
-                        .filter(seen -> seen.outcome() != Outcome.WHOLE)
+                        .filter(observation -> observation.outcome() != Outcome.WHOLE)
                         .collect(
                                 Collectors.groupingBy(
-                                        seen -> seen.outcome() + ":" + seen.code(),
+                                        observation ->
+                                                observation.outcome() + ":" + observation.code(),
                                         TreeMap::new,
                                         Collectors.counting()));
-        out.println("target leaving: requests without a whole answer: " + notWhole);
+        out.println(
+                "target leaving: requests without a whole answer: " + requestsWithoutWholeAnswer);
     }
 
-    private int runsAt(String target) {
+    private int countRunsOn(String target) {
         return stack.standIn(target).ask("/control/runs").get("runs").size();
     }
 }
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of the running system. */
+/** Measurements of overhead, resource use and recovery times of a running system. */
 package org.tamaracktrack.bench.measure;
