--- a/bench/src/main/java/org/tamaracktrack/bench/cost/DecisionCosts.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/cost/DecisionCosts.java
@@ -33,38 +33,41 @@
 import org.tamaracktrack.core.target.ResidencyPlanner;
 import org.tamaracktrack.core.target.ResidencyView;
 
-/** Prints the processor time of admission, ledger and residency decisions at several sizes. */
+/** Prints the elapsed time of admission, memory ledger and residency decisions at several sizes. */
 public final class DecisionCosts {
     private static final RequestClassId CLASS = RequestClassId.of("interactive");
     private static final IncarnationId ENTRY = IncarnationId.of("entry");
     private static final AcceleratorId ACCELERATOR = AcceleratorId.of("a0");
     private static final TargetId TARGET = TargetId.of("t0");
     private static final int ROUNDS = 7;
-    private static final long PATIENCE_MILLIS = 1_000_000_000;
+    private static final long WAIT_LIMIT_MILLIS = 1_000_000_000;
 
     private DecisionCosts() {}
 
     /**
-     * Runs the measurement.
+     * Runs the measurements and prints a row for each decision and size.
      *
-     * @param arguments none
+     * @param arguments not used
      */
     public static void main(String[] arguments) {
         System.out.printf("%-34s %10s %12s %12s%n", "decision", "size", "median_us", "spread_us");
-        List.of(10, 100, 1_000).forEach(DecisionCosts::admission);
-        List.of(10, 100, 1_000).forEach(DecisionCosts::ticks);
-        List.of(10, 100, 1_000).forEach(DecisionCosts::ledger);
-        List.of(26, 260, 1_100).forEach(DecisionCosts::residency);
+        List.of(10, 100, 1_000).forEach(DecisionCosts::measureAdmission);
+        List.of(10, 100, 1_000).forEach(DecisionCosts::measureTicks);
+        List.of(10, 100, 1_000).forEach(DecisionCosts::measureMemoryLedger);
+        List.of(26, 260, 1_100).forEach(DecisionCosts::measureResidency);
     }
 
-    private static void report(String name, int size, int count, IntConsumer decision) {
+    private static void measure(
+            String name, int size, int decisionsPerRound, IntConsumer decision) {
         List<Double> micros =
                 IntStream.range(0, ROUNDS)
                         .mapToObj(
                                 round -> {
-                                    long from = System.nanoTime();
-                                    IntStream.range(0, count).forEach(decision);
-                                    return (System.nanoTime() - from) / 1_000.0 / count;
+                                    long startNanos = System.nanoTime();
+                                    IntStream.range(0, decisionsPerRound).forEach(decision);
+                                    return (System.nanoTime() - startNanos)
+                                            / 1_000.0
+                                            / decisionsPerRound;
                                 })
                         .skip(2)
                         .sorted(Comparator.naturalOrder())
@@ -77,18 +80,18 @@
                 micros.get(micros.size() - 1) - micros.get(0));
     }
 
-    private static AdmissionRequest work(Random random, long number, int accounts) {
+    private static AdmissionRequest admissionRequest(Random random, long number, int accounts) {
         return new AdmissionRequest(
                 AttemptId.of(ENTRY, number, 0),
                 ClientAccountId.of("account-" + random.nextInt(accounts)),
                 CLASS,
                 1 + random.nextInt(500),
                 0,
-                PATIENCE_MILLIS,
+                WAIT_LIMIT_MILLIS,
                 Optional.empty());
     }
 
-    private static FairAdmission busy(int accounts, Random random) {
+    private static FairAdmission busyAdmission(int accounts, Random random) {
         AdmissionLimits limits =
                 new AdmissionLimits(
                         8,
@@ -106,25 +109,28 @@
                 .forEach(
                         index ->
                                 admission.handle(
-                                        new AdmissionMessage.Arrived(work(random, index, accounts)),
+                                        new AdmissionMessage.Arrived(
+                                                admissionRequest(random, index, accounts)),
                                         0));
         return admission;
     }
 
-    // One arrival and one end, with two waiting requests for each account.
-    private static void admission(int accounts) {
+    // Measures one arrival and one end while two requests of each client account are waiting.
+    private static void measureAdmission(int accounts) {
         Random random = new Random(7);
-        FairAdmission admission = busy(accounts, random);
+        FairAdmission admission = busyAdmission(accounts, random);
         ArrayDeque<AttemptId> running = new ArrayDeque<>();
         IntStream.range(0, 8).forEach(index -> running.add(AttemptId.of(ENTRY, index, 0)));
-        long[] number = {1_000_000};
-        report(
+        long[] nextNumber = {1_000_000};
+        measure(
                 "arrival and end, by accounts",
                 accounts,
                 accounts >= 1_000 ? 1_000 : 20_000,
                 unused -> {
                     admission.handle(
-                            new AdmissionMessage.Arrived(work(random, number[0]++, accounts)), 1);
+                            new AdmissionMessage.Arrived(
+                                    admissionRequest(random, nextNumber[0]++, accounts)),
+                            1);
                     admission
                             .handle(
                                     new AdmissionMessage.Ended(running.poll(), OptionalInt.of(250)),
@@ -135,33 +141,33 @@
                 });
     }
 
-    private static void ticks(int accounts) {
-        FairAdmission admission = busy(accounts, new Random(7));
-        report(
+    private static void measureTicks(int accounts) {
+        FairAdmission admission = busyAdmission(accounts, new Random(7));
+        measure(
                 "tick over waiting requests",
                 admission.queued(),
                 100,
                 unused -> admission.handle(new AdmissionMessage.Tick(), 3));
     }
 
-    private static void ledger(int orders) {
+    private static void measureMemoryLedger(int orders) {
         MemoryLedger ledger = MemoryLedger.empty();
         ledger.updateCommitted(ACCELERATOR, 10_000_000, 0);
         IntStream.range(0, orders)
                 .forEach(index -> ledger.reserve(OrderId.of("o" + index), ACCELERATOR, 10));
-        OrderId one = OrderId.of("one");
-        report(
+        OrderId order = OrderId.of("one");
+        measure(
                 "reserve and release, by orders",
                 orders,
                 20_000,
                 unused -> {
-                    ledger.reserve(one, ACCELERATOR, 10);
-                    ledger.release(one);
+                    ledger.reserve(order, ACCELERATOR, 10);
+                    ledger.release(order);
                 });
     }
 
-    // A twentieth of the models resident and placed here, and three needs unmet.
-    private static void residency(int models) {
+    // A twentieth of the models are resident on and placed on this target; three needs are unmet.
+    private static void measureResidency(int models) {
         Map<ModelId, Configuration.Model> configured =
                 IntStream.range(0, models)
                         .mapToObj(index -> ModelId.of("m" + index))
@@ -170,16 +176,16 @@
                                         Function.identity(),
                                         id -> new Configuration.Model(id, "1", 100)));
         List<ModelId> ids = configured.keySet().stream().sorted().toList();
-        int here = Math.max(1, models / 20);
-        ResidencyView view = view(configured, ids, here);
-        report("residency, by models", models, 500, unused -> ResidencyPlanner.decide(view));
+        int residentCount = Math.max(1, models / 20);
+        ResidencyView view = residencyView(configured, ids, residentCount);
+        measure("residency, by models", models, 500, unused -> ResidencyPlanner.decide(view));
     }
 
-    private static ResidencyView view(
-            Map<ModelId, Configuration.Model> configured, List<ModelId> ids, int here) {
+    private static ResidencyView residencyView(
+            Map<ModelId, Configuration.Model> configured, List<ModelId> ids, int residentCount) {
         List<EngineInventory.ModelState> copies =
                 ids.stream()
-                        .limit(here)
+                        .limit(residentCount)
                         .map(
                                 id ->
                                         new EngineInventory.ModelState(
@@ -196,12 +202,12 @@
                                 index ->
                                         new LogEntry.Placement(
                                                 ids.get(index),
-                                                index < here ? TARGET : TargetId.of("t1"),
+                                                index < residentCount ? TARGET : TargetId.of("t1"),
                                                 List.of(),
                                                 "home"))
                         .toList();
         Set<Need> unmet =
-                ids.stream().skip(here).limit(3).map(Need::of).collect(Collectors.toSet());
+                ids.stream().skip(residentCount).limit(3).map(Need::of).collect(Collectors.toSet());
         return new ResidencyView(
                 TARGET,
                 new Configuration(
@@ -221,7 +227,7 @@
                         "serve",
                         List.of(
                                 new EngineInventory.AcceleratorState(
-                                        ACCELERATOR, 100L * here, 100L * here)),
+                                        ACCELERATOR, 100L * residentCount, 100L * residentCount)),
                         copies,
                         List.of()),
                 Map.of(ACCELERATOR, 0L),
--- a/bench/src/main/java/org/tamaracktrack/bench/cost/package-info.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/cost/package-info.java
@@ -1,2 +1,2 @@
-/** What single decisions of the core cost, measured without input or output. */
+/** Measurements of the cost of single decisions of the core, without input or output. */
 package org.tamaracktrack.bench.cost;
