--- a/bench/src/main/java/org/tamaracktrack/bench/load/Experiment.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/load/Experiment.java
@@ -251,7 +251,10 @@
             LocalStack stack, List<OpenLoopLoad.SentRequest> allRequests) {
         List<ObservedRequest> observations =
                 allRequests.stream()
-                        .map(request -> ObservedRequest.of(request.arrival().request(), request.observation()))
+                        .map(
+                                request ->
+                                        ObservedRequest.of(
+                                                request.arrival().request(), request.observation()))
                         .toList();
         List<String> differences = ReportCheck.differences(stack, observations);
         return differences.isEmpty()
--- a/bench/src/main/java/org/tamaracktrack/bench/measure/PathOverhead.java
+++ b/bench/src/main/java/org/tamaracktrack/bench/measure/PathOverhead.java
@@ -78,7 +78,10 @@
         return stack.engines().values().stream()
                 .filter(
                         engine ->
-                                engine.ask("/control/state").findValuesAsText("model").stream()
+                                engine
+                                        .getControl("/control/state")
+                                        .findValuesAsText("model")
+                                        .stream()
                                         .anyMatch(model::equals))
                 .findFirst()
                 .orElseThrow(() -> StackException.of("no engine holds model " + model))
@@ -148,7 +151,7 @@
     }
 
     private ServiceRequest serviceRequest(Optional<String> key) {
-        return SampleAccounts.toService(SampleAccounts.CEVALLOS, "POST", nextPrompt(), key);
+        return SampleAccounts.serviceRequest(SampleAccounts.CEVALLOS, "POST", nextPrompt(), key);
     }
 
     private CompletableFuture<Observation> callService(String address) {
