--- a/daemon/src/main/java/org/tamaracktrack/daemon/DaemonInstance.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/DaemonProcess.java
@@ -15,7 +15,7 @@
 import org.tamaracktrack.daemon.configuration.ConfigurationMetrics;
 import org.tamaracktrack.daemon.configuration.ConfigurationSnapshotter;
 import org.tamaracktrack.daemon.configuration.FollowedConfiguration;
-import org.tamaracktrack.daemon.configuration.PeerConfigurationFetcher;
+import org.tamaracktrack.daemon.configuration.PeerAsker;
 import org.tamaracktrack.daemon.entry.EntryRole;
 import org.tamaracktrack.daemon.operations.DaemonHttpServer;
 import org.tamaracktrack.daemon.operations.OperationsHandler;
@@ -35,8 +35,8 @@
 import sun.misc.Signal;
 
 /** A running daemon. Starts the components of its role and stops them on a signal. */
-final class DaemonInstance {
-    private static final Logger LOG = Logger.getLogger(DaemonInstance.class);
+final class DaemonProcess {
+    private static final Logger LOG = Logger.getLogger(DaemonProcess.class);
     private static final int EXIT_REQUESTS_CUT = 1;
     private static final int EXIT_FORCED_STOP = 4;
 
@@ -45,13 +45,13 @@
     private final DaemonHttpServer httpServer;
     private final AtomicInteger receivedSignals = new AtomicInteger();
 
-    private DaemonInstance(DaemonRuntime runtime, DaemonRole role, DaemonHttpServer httpServer) {
+    private DaemonProcess(DaemonRuntime runtime, DaemonRole role, DaemonHttpServer httpServer) {
         this.runtime = runtime;
         this.role = role;
         this.httpServer = httpServer;
     }
 
-    static DaemonInstance start(DaemonSettings settings) {
+    static DaemonProcess start(DaemonSettings settings) {
         IncarnationId incarnation = incarnation(settings.settings());
         LOG.infof("event=start incarnation=%s %s", incarnation, settings.describe());
         ControlThread control = ControlThread.of("control");
@@ -61,17 +61,16 @@
         DaemonRuntime runtime =
                 runtime(settings.settings(), incarnation, control, http, log, configuration);
         ConfigurationMetrics.register(configuration, runtime.metrics());
-        PeerConfigurationFetcher.start(
-                configuration, runtime.transport(), control, settings.settings().peers());
+        PeerAsker.start(configuration, runtime.transport(), control, settings.settings().peers());
         if (settings.settings().role() == Settings.Role.ENTRY) {
             EntryRole entry = EntryRole.start(runtime, settings.routing(), settings.placement());
             ConfigurationSnapshotter.start(
                     configuration, log, control, () -> entry.holds(Duty.REPORTER));
-            return new DaemonInstance(
+            return new DaemonProcess(
                     runtime, entry, httpServer(runtime, entry, entry.callerHandler()));
         }
         TargetRole target = TargetRole.start(runtime, settings.admission());
-        return new DaemonInstance(
+        return new DaemonProcess(
                 runtime, target, httpServer(runtime, target, ResponseCodeHandler.HANDLE_404));
     }
 
--- a/daemon/src/main/java/org/tamaracktrack/daemon/Main.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/Main.java
@@ -45,7 +45,7 @@
 
     private static int start(DaemonSettings settings, PrintStream out, PrintStream err) {
         try {
-            DaemonInstance process = DaemonInstance.start(settings);
+            DaemonProcess process = DaemonProcess.start(settings);
             process.stopOnSignals();
             out.println(process.readyLine());
             out.flush();
--- a/daemon/src/main/java/org/tamaracktrack/daemon/configuration/PeerConfigurationFetcher.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/configuration/PeerAsker.java
@@ -15,8 +15,8 @@
 import org.tamaracktrack.link.frame.FrameTransport;
 
 /** Requests the configuration from other daemons while the log can't be followed. */
-public final class PeerConfigurationFetcher {
-    private static final Logger LOG = Logger.getLogger(PeerConfigurationFetcher.class);
+public final class PeerAsker {
+    private static final Logger LOG = Logger.getLogger(PeerAsker.class);
     private static final long REQUEST_PERIOD_MILLIS = 1_000;
 
     private final FollowedConfiguration configuration;
@@ -26,7 +26,7 @@
     private final ConfigurationMessageHandler messageHandler;
     private final Map<InetSocketAddress, Optional<Connection>> connections = new HashMap<>();
 
-    private PeerConfigurationFetcher(
+    private PeerAsker(
             FollowedConfiguration configuration,
             FrameTransport transport,
             ControlThread control,
@@ -48,7 +48,7 @@
      * @param peers the addresses of the daemons to request from; none for no requests
      * @return the fetcher
      */
-    public static PeerConfigurationFetcher start(
+    public static PeerAsker start(
             FollowedConfiguration configuration,
             FrameTransport transport,
             ControlThread control,
@@ -56,8 +56,7 @@
         Objects.requireNonNull(configuration, "configuration is null");
         Objects.requireNonNull(transport, "transport is null");
         Objects.requireNonNull(control, "control is null");
-        PeerConfigurationFetcher fetcher =
-                new PeerConfigurationFetcher(configuration, transport, control, peers);
+        PeerAsker fetcher = new PeerAsker(configuration, transport, control, peers);
         if (!peers.isEmpty()) {
             control.every(REQUEST_PERIOD_MILLIS, fetcher::requestUnlessFollowing);
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/EntryRole.java
@@ -130,7 +130,7 @@
                 runtime.log(),
                 LogStream.OWNERSHIP,
                 control,
-                OwnershipFollower.start(
+                OwnershipAsker.start(
                         runtime.transport(), control, runtime.settings().peers(), targets));
         LogFollower.start(
                 runtime.log(),
--- a/daemon/src/main/java/org/tamaracktrack/daemon/entry/OwnershipFollower.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/entry/OwnershipAsker.java
@@ -20,8 +20,8 @@
  * Follows the ownership of targets in the log and, while the log is not read up to its end, queries
  * other entry daemons. All methods must be called on the control thread.
  */
-final class OwnershipFollower implements LogFollower.Listener {
-    private static final Logger LOG = Logger.getLogger(OwnershipFollower.class);
+final class OwnershipAsker implements LogFollower.Listener {
+    private static final Logger LOG = Logger.getLogger(OwnershipAsker.class);
     private static final long QUERY_INTERVAL_MILLIS = 1_000;
 
     private final FrameTransport transport;
@@ -31,7 +31,7 @@
     private final Map<InetSocketAddress, Optional<Connection>> connections = new HashMap<>();
     private boolean caughtUp;
 
-    private OwnershipFollower(
+    private OwnershipAsker(
             FrameTransport transport,
             ControlThread control,
             List<InetSocketAddress> peers,
@@ -42,12 +42,12 @@
         this.targets = targets;
     }
 
-    static OwnershipFollower start(
+    static OwnershipAsker start(
             FrameTransport transport,
             ControlThread control,
             List<InetSocketAddress> peers,
             TargetDirectory targets) {
-        OwnershipFollower follower = new OwnershipFollower(transport, control, peers, targets);
+        OwnershipAsker follower = new OwnershipAsker(transport, control, peers, targets);
         if (!peers.isEmpty()) {
             control.every(QUERY_INTERVAL_MILLIS, follower::tick);
         }
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineController.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/EngineKeeper.java
@@ -43,8 +43,8 @@
  * requests: polls the inventory, decides on changes, and sends the orders that the {@link
  * OrderController} permits. Confined to the control thread.
  */
-final class EngineController implements AutoCloseable {
-    private static final Logger LOG = Logger.getLogger(EngineController.class);
+final class EngineKeeper implements AutoCloseable {
+    private static final Logger LOG = Logger.getLogger(EngineKeeper.class);
     private static final long POLL_MILLIS = 500;
     private static final long POLL_WHILE_CHANGING_MILLIS = 50;
     private static final long UNREADABLE_LIMIT_MILLIS = 3_000;
@@ -75,7 +75,7 @@
     private boolean closed;
     private long lastInventoryAtMillis = ControlThread.nowMillis();
 
-    private EngineController(
+    private EngineKeeper(
             Configuration configuration,
             Configuration.Target target,
             IncarnationId self,
@@ -104,7 +104,7 @@
         configure(configuration, target);
     }
 
-    static EngineController start(
+    static EngineKeeper start(
             Configuration configuration,
             Configuration.Target target,
             IncarnationId self,
@@ -116,8 +116,8 @@
             Counters counters,
             TargetMeters meters) {
         Objects.requireNonNull(configuration, "configuration is null");
-        EngineController controller =
-                new EngineController(
+        EngineKeeper controller =
+                new EngineKeeper(
                         configuration,
                         target,
                         self,
--- a/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/tamaracktrack/daemon/target/TargetRole.java
@@ -56,7 +56,7 @@
     private final CountDownLatch drained = new CountDownLatch(1);
     private InetSocketAddress address;
     private Optional<OwnershipRenewer> ownershipRenewer = Optional.empty();
-    private Optional<EngineController> engineController = Optional.empty();
+    private Optional<EngineKeeper> engineController = Optional.empty();
     private Optional<Configuration.Target> configured = Optional.empty();
     private boolean ownsPlainService;
     private long loadSequence;
@@ -174,7 +174,7 @@
     }
 
     private boolean isOwner() {
-        return engineController.map(EngineController::isOwner).orElse(ownsPlainService);
+        return engineController.map(EngineKeeper::isOwner).orElse(ownsPlainService);
     }
 
     private void configure(ConfigurationSource.VersionedConfiguration versioned) {
@@ -203,8 +203,8 @@
 
     private void startServing(Configuration configuration, Configuration.Target configuredTarget) {
         if (configuredTarget.kind() == Configuration.TargetKind.ENGINE) {
-            EngineController controller =
-                    EngineController.start(
+            EngineKeeper controller =
+                    EngineKeeper.start(
                             configuration,
                             configuredTarget,
                             runtime.incarnation(),
@@ -256,7 +256,7 @@
     }
 
     private Message.Load load() {
-        Set<Need> readyNeeds = engineController.map(EngineController::ready).orElse(Set.of());
+        Set<Need> readyNeeds = engineController.map(EngineKeeper::ready).orElse(Set.of());
         List<ModelId> resident =
                 readyNeeds.stream()
                         .filter(need -> need.adapter().isEmpty())
@@ -273,7 +273,7 @@
                 submissions.admission().estimatedWaitMillis(),
                 resident,
                 adapters,
-                engineController.map(EngineController::loading).orElse(List.of()));
+                engineController.map(EngineKeeper::loading).orElse(List.of()));
     }
 
     @Override
@@ -301,7 +301,7 @@
             cutRemaining();
         }
         publisher.drain(FINAL_STEP_TIMEOUT_MILLIS);
-        engineController.ifPresent(EngineController::close);
+        engineController.ifPresent(EngineKeeper::close);
         engine.close();
         ownershipAppender.close();
         runtime.control().close();
@@ -358,7 +358,7 @@
 
         @Override
         public void onGap(long firstOffset) {
-            engineController.ifPresent(EngineController::onRecordsMissed);
+            engineController.ifPresent(EngineKeeper::onRecordsMissed);
         }
 
         @Override
--- a/daemon/src/test/java/org/tamaracktrack/daemon/configuration/FollowedConfigurationTest.java
+++ b/daemon/src/test/java/org/tamaracktrack/daemon/configuration/FollowedConfigurationTest.java
@@ -151,10 +151,9 @@
             BlockingQueue<VersionedConfiguration> receivedVersions = new LinkedBlockingQueue<>();
             newDaemon.addListener(receivedVersions::add);
 
-            PeerConfigurationFetcher.start(newDaemon, transport, newControl, List.of(outdatedPeer));
+            PeerAsker.start(newDaemon, transport, newControl, List.of(outdatedPeer));
             assertThat(next(receivedVersions).version()).isEqualTo(0);
-            PeerConfigurationFetcher.start(
-                    newDaemon, transport, newControl, List.of(outdatedPeer, currentPeer));
+            PeerAsker.start(newDaemon, transport, newControl, List.of(outdatedPeer, currentPeer));
             assertThat(next(receivedVersions).version()).isEqualTo(1);
             assertThat(newDaemon.status().confirmed()).isFalse();
 
