--- a/cli/src/main/java/org/tamaracktrack/cli/CommandLine.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/CommandLine.java
@@ -22,7 +22,7 @@
 import org.tamaracktrack.cli.command.ValidateCommand;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Finds the command that a command line names, and runs it. */
+/** Parses a command line and runs its command. */
 public final class CommandLine {
     private static final String PROGRAM = "tamaracktrack";
     private static final String HINT = "see `tamaracktrack --help`";
@@ -32,9 +32,9 @@
     private final GlobalOptions globalOptions = new GlobalOptions();
     private final JCommander parser;
 
-    /** Options before the command. */
+    /** Holds the options that precede the command. */
     private static final class GlobalOptions {
-        @Parameter(names = "--help", help = true, description = "this help")
+        @Parameter(names = "--help", help = true, description = "show this help")
         private boolean help;
     }
 
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Returns a command line with every command.
+     * Returns a command line that knows all commands.
      *
-     * @param environment what is around it
+     * @param environment the environment that commands run in
      * @return the command line
      */
     public static CommandLine of(Environment environment) {
@@ -70,22 +70,22 @@
     }
 
     /**
-     * Runs. Failures are written to the error stream.
+     * Parses the arguments and runs the command. Writes failures to the error stream.
      *
-     * @param arguments the command line
-     * @return how it ended
+     * @param arguments the arguments of the process
+     * @return the exit code of the command
      */
     public ExitCode run(String... arguments) {
         try {
             parser.parse(arguments);
-        } catch (ParameterException wrong) {
-            environment.errors().println(wrong.getMessage());
+        } catch (ParameterException failure) {
+            environment.errors().println(failure.getMessage());
             environment.errors().println(HINT);
             return ExitCode.USAGE;
         }
         Optional<Command> command =
                 Optional.ofNullable(parser.getParsedCommand()).map(commands::get);
-        if (globalOptions.help || command.filter(Command::helpWanted).isPresent()) {
+        if (globalOptions.help || command.filter(Command::isHelpRequested).isPresent()) {
             environment.out().println(help(command));
             return ExitCode.OK;
         }
--- a/cli/src/main/java/org/tamaracktrack/cli/ExitCode.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/ExitCode.java
@@ -4,17 +4,17 @@
 import java.util.stream.Collectors;
 import org.tamaracktrack.core.error.ErrorCode;
 
-/** How a command ended, for scripts. */
+/** The exit codes of the tool. Scripts depend on the numbers. */
 public enum ExitCode {
     OK(0, "done"),
     INVALID(1, "the document is not valid; nothing was published"),
-    USAGE(2, "the command line or the environment is wrong"),
+    USAGE(2, "the command line or the environment is invalid"),
     SUPERSEDED(3, "another publication came first; nothing changed"),
-    LOG_UNAVAILABLE(4, "the log can't be reached; certainly nothing was written"),
-    OUTCOME_UNKNOWN(5, "written or perhaps written, and not read back in time"),
+    LOG_UNAVAILABLE(4, "the log is unavailable; nothing was written"),
+    OUTCOME_UNKNOWN(5, "written or possibly written, but not read back in time"),
     DIFFERENT(6, "diff: the documents differ"),
-    NOT_FOUND(7, "there is nothing in force, or no such name"),
-    INTERNAL(8, "a fault of the program");
+    NOT_FOUND(7, "no configuration is in force, or the name is unknown"),
+    INTERNAL(8, "internal error");
 
     private final int number;
     private final String meaning;
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Returns the process's exit status.
+     * Returns the exit status of the process.
      *
      * @return the status
      */
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Returns the exit code for a failure.
+     * Returns the exit code for an error code.
      *
-     * @param code what failed
+     * @param code the code of the failure
      * @return the exit code
      */
     public static ExitCode of(ErrorCode code) {
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Lists the exit codes for a help text.
+     * Lists the exit codes and their meanings for the help text.
      *
-     * @return one line for each
+     * @return one line for each exit code
      */
     public static String help() {
         return Arrays.stream(values())
--- a/cli/src/main/java/org/tamaracktrack/cli/Main.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/Main.java
@@ -1,26 +1,26 @@
 package org.tamaracktrack.cli;
 
 import java.util.UUID;
+import org.tamaracktrack.cli.command.Connections;
 import org.tamaracktrack.cli.command.Environment;
-import org.tamaracktrack.cli.command.Links;
-import org.tamaracktrack.cli.command.NetworkLinks;
+import org.tamaracktrack.cli.command.NetworkConnections;
 import org.tamaracktrack.core.id.PublicationId;
 
-/** The operators' tool, {@code tamaracktrack}. */
+/** The main class of the operators' command-line tool, {@code tamaracktrack}. */
 public final class Main {
     private Main() {}
 
     /**
      * Runs the tool.
      *
-     * @param arguments the command line
+     * @param arguments the arguments of the process
      */
     public static void main(String[] arguments) {
         System.exit(run(arguments).number());
     }
 
     private static ExitCode run(String[] arguments) {
-        try (Links links = NetworkLinks.of()) {
+        try (Connections links = NetworkConnections.of()) {
             Environment environment =
                     new Environment(
                             System.getenv(),
--- a/cli/src/main/java/org/tamaracktrack/cli/command/BasicCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/BasicCommand.java
@@ -3,13 +3,13 @@
 import com.beust.jcommander.ParametersDelegate;
 import org.tamaracktrack.cli.output.Output;
 
-/** A command with the options that every command has. */
+/** Base class of all commands, with the options that they share. */
 abstract class BasicCommand implements Command {
     @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
     @Override
-    public final boolean helpWanted() {
-        return common.helpWanted();
+    public final boolean isHelpRequested() {
+        return common.isHelpRequested();
     }
 
     final Output output(Environment environment) {
--- a/cli/src/main/java/org/tamaracktrack/cli/command/Command.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/Command.java
@@ -3,36 +3,36 @@
 import java.util.List;
 import org.tamaracktrack.cli.ExitCode;
 
-/** One command of the tool. Its options are filled in by the command line before it runs. */
+/** A command of the tool. Its options are set from the arguments of the process before it runs. */
 public interface Command {
 
     /**
-     * Returns the name on the command line.
+     * Returns the name of the command on the command line.
      *
      * @return the name
      */
     String name();
 
     /**
-     * Returns examples for the help text.
+     * Returns example invocations for the help text.
      *
      * @return command lines
      */
     List<String> examples();
 
     /**
-     * Returns whether help was asked for instead of a run.
+     * Returns whether the help text was requested, so that the command is not to run.
      *
-     * @return true for help
+     * @return true if help was requested
      */
-    boolean helpWanted();
+    boolean isHelpRequested();
 
     /**
-     * Runs.
+     * Runs the command.
      *
-     * @param environment what is around it
-     * @return how it ended
-     * @throws org.tamaracktrack.core.error.TamaracktrackException when it fails
+     * @param environment the environment to run in
+     * @return the exit code
+     * @throws org.tamaracktrack.core.error.TamaracktrackException if the command fails
      */
     ExitCode run(Environment environment);
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/CommonOptions.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/CommonOptions.java
@@ -9,20 +9,20 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Options of every command. A flag goes before its environment variable. */
+/** Holds the options of all commands. A flag takes precedence over its environment variable. */
 final class CommonOptions {
     private static final String OUTPUT_VARIABLE = "TAMARACKTRACK_OUTPUT";
 
     @Parameter(
             names = "--output",
             order = 90,
-            description = "table, json or csv (TAMARACKTRACK_OUTPUT; table)")
+            description = "table, json or csv (TAMARACKTRACK_OUTPUT; default: table)")
     private String output;
 
-    @Parameter(names = "--help", help = true, order = 99, description = "this help")
+    @Parameter(names = "--help", help = true, order = 99, description = "show this help")
     private boolean help;
 
-    boolean helpWanted() {
+    boolean isHelpRequested() {
         return help;
     }
 
--- a/cli/src/main/java/org/tamaracktrack/cli/command/DiffCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/DiffCommand.java
@@ -35,14 +35,15 @@
     @Override
     public ExitCode run(Environment environment) {
         Output output = output(environment);
-        // Through the same text form as the published one, so that 1 and 1L are no difference.
-        Map<String, Object> wanted =
+        // Encoded and parsed as the published document is, so that the numbers 1 and 1L compare
+        // equal.
+        Map<String, Object> proposed =
                 ConfigurationDocuments.parseJson(
                         ConfigurationDocuments.canonicalJson(document.document()));
-        ConfigurationInForce inForce = log().inForce(environment);
+        ConfigurationInForce inForce = logOptions().inForce(environment);
         List<Change> changes =
                 DocumentDifference.between(
-                        ConfigurationDocuments.parseJson(inForce.document()), wanted);
+                        ConfigurationDocuments.parseJson(inForce.document()), proposed);
         Table table = Table.of("path", "in force", "file");
         changes.forEach(
                 change -> table.row(change.path(), text(change.before()), text(change.after())));
--- a/cli/src/main/java/org/tamaracktrack/cli/command/DocumentOptions.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/DocumentOptions.java
@@ -15,17 +15,19 @@
 import org.tamaracktrack.core.error.TamaracktrackException;
 import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
-/** The document that a command works on. */
+/** Holds the options that name the configuration document of a command and its parameters. */
 final class DocumentOptions {
     private static final String PARAMETERS = "parameters";
 
-    @Parameter(required = true, description = "FILE: the document, YAML or JSON; - for input")
+    @Parameter(
+            required = true,
+            description = "FILE: the document, YAML or JSON; - for standard input")
     private List<String> files = new ArrayList<>();
 
     @Parameter(
             names = "--parameter",
             order = 10,
-            description = "name=value for one of the document's parameters; may be repeated")
+            description = "name=value, sets a parameter of the document; repeatable")
     private List<String> parameters = new ArrayList<>();
 
     Map<String, Object> document() {
@@ -33,11 +35,11 @@
             throw TamaracktrackException.of(
                     ErrorCode.INVALID_SETTINGS, "give one FILE, not " + files.size());
         }
-        // The parser takes an option that it does not know for a file; a misspelt option would read
-        // as a missing file.
+        // JCommander treats an unknown option as a file name. Without this check, a misspelt option
+        // would be reported as a missing file.
         if (files.get(0).startsWith("--")) {
             throw TamaracktrackException.of(
-                    ErrorCode.INVALID_SETTINGS, "there is no option " + files.get(0));
+                    ErrorCode.INVALID_SETTINGS, "unknown option " + files.get(0));
         }
         Map<String, Object> tree =
                 new LinkedHashMap<>(ConfigurationDocuments.parseYaml(read(files.get(0))));
@@ -51,11 +53,11 @@
                     ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8)
                     : Files.readString(Path.of(file));
         } catch (NoSuchFileException failure) {
-            throw unreadable(file, "there is no such file", failure);
+            throw unreadable(file, "the file does not exist", failure);
         } catch (CharacterCodingException failure) {
-            throw unreadable(file, "it is not UTF-8 text", failure);
+            throw unreadable(file, "the file is not UTF-8 text", failure);
         } catch (IOException failure) {
-            throw unreadable(file, "it can't be read", failure);
+            throw unreadable(file, "the file can't be read", failure);
         }
     }
 
@@ -77,7 +79,10 @@
         if (!values.containsKey(name)) {
             throw TamaracktrackException.of(
                     ErrorCode.INVALID_SETTINGS,
-                    "--parameter " + name + " is none of the document's: " + values.keySet());
+                    "--parameter "
+                            + name
+                            + " is not in the document, which has "
+                            + values.keySet());
         }
         values.put(name, scalar(parameter.substring(separator + 1)));
         tree.put(PARAMETERS, values);
--- a/cli/src/main/java/org/tamaracktrack/cli/command/DrainCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/DrainCommand.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.tamaracktrack.cli.ExitCode;
 import org.tamaracktrack.cli.log.OwnershipLog;
-import org.tamaracktrack.cli.log.Patience;
+import org.tamaracktrack.cli.log.RetryTimer;
 import org.tamaracktrack.cli.output.Output;
 import org.tamaracktrack.cli.output.OutputFormat;
 import org.tamaracktrack.core.error.ErrorCode;
@@ -17,13 +17,18 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Asks a target to leave, or takes the request back. */
-@Parameters(commandDescription = "ask a target to take no new work, or take the request back")
+/** Requests that a target be drained, or cancels the request. */
+@Parameters(
+        commandDescription =
+                "drain a target, so that it takes no new requests, or cancel its drain")
 public final class DrainCommand extends LogCommand {
     @Parameter(required = true, description = "TARGET: the target's name")
     private List<String> targets = new ArrayList<>();
 
-    @Parameter(names = "--cancel", order = 10, description = "let the target take work again")
+    @Parameter(
+            names = "--cancel",
+            order = 10,
+            description = "cancel the drain, so that the target takes requests again")
     private boolean cancel;
 
     @Override
@@ -40,15 +45,17 @@
     public ExitCode run(Environment environment) {
         Output output = output(environment);
         TargetId target = target(environment);
-        DrainRequested wanted = new DrainRequested(target, !cancel, log().operator(environment));
-        request(log().log(environment), log().patience(environment), wanted);
+        DrainRequested request =
+                new DrainRequested(target, !cancel, logOptions().operator(environment));
+        appendAndConfirm(
+                logOptions().logClient(environment), logOptions().retryTimer(environment), request);
         if (output.format() == OutputFormat.JSON) {
-            output.json(Map.of("target", target.value(), "leaving", wanted.leaving()));
+            output.json(Map.of("target", target.value(), "leaving", request.leaving()));
         }
         output.line(
-                wanted.leaving()
-                        ? target + " is asked to leave; `tamaracktrack status` shows when it is out"
-                        : target + " may take work again");
+                request.leaving()
+                        ? target + " is requested to drain; see `tamaracktrack status`"
+                        : target + " may take requests again");
         return ExitCode.OK;
     }
 
@@ -58,43 +65,49 @@
                     ErrorCode.INVALID_SETTINGS, "give one TARGET, not " + targets);
         }
         TargetId target = TargetId.of(targets.get(0));
-        if (!log().inForce(environment).configuration().targets().containsKey(target)) {
+        if (!logOptions().inForce(environment).configuration().targets().containsKey(target)) {
             throw TamaracktrackException.of(
                     ErrorCode.NOT_FOUND,
-                    "no target " + target + " in force; `tamaracktrack status` lists them");
+                    "no target "
+                            + target
+                            + " in the configuration in force; `tamaracktrack status`"
+                            + " lists the targets");
         }
         return target;
     }
 
-    // The answer may be lost after the write. The newest request for a target is the one that
-    // holds, so reading until it is the wanted one is enough, and a second one changes nothing.
-    private static void request(LogClient client, Patience patience, DrainRequested wanted) {
+    // The response to an append may be lost after the record was written. The newest drain request
+    // of a target is in force, so it is enough to read until the newest one is the requested one. A
+    // duplicate record has no effect.
+    private static void appendAndConfirm(
+            LogClient client, RetryTimer timer, DrainRequested request) {
         OwnershipLog ownership = OwnershipLog.of(client);
         boolean appended = false;
         while (true) {
-            ownership.readToEnd(patience);
+            ownership.readToEnd(timer);
             boolean holds =
                     ownership
-                            .drain(wanted.target())
-                            .filter(newest -> newest.leaving() == wanted.leaving())
+                            .drain(request.target())
+                            .filter(newest -> newest.leaving() == request.leaving())
                             .isPresent();
             if (holds) {
                 return;
             }
-            if (appended && !patience.another()) {
+            if (appended && !timer.awaitNextAttempt()) {
                 throw TamaracktrackException.of(
-                        ErrorCode.LOG_OUTCOME_UNKNOWN, "the request was not read back");
+                        ErrorCode.LOG_OUTCOME_UNKNOWN,
+                        "the drain request may have been written, but was not read back in time");
             }
-            appended |= append(client, patience, wanted);
+            appended |= append(client, timer, request);
         }
     }
 
-    private static boolean append(LogClient client, Patience patience, DrainRequested wanted) {
+    private static boolean append(LogClient client, RetryTimer timer, DrainRequested request) {
         try {
-            client.append(LogStream.OWNERSHIP, wanted);
+            client.append(LogStream.OWNERSHIP, request);
             return true;
         } catch (TamaracktrackException failure) {
-            if (!patience.another()) {
+            if (!timer.awaitNextAttempt()) {
                 throw failure;
             }
             return false;
--- a/cli/src/main/java/org/tamaracktrack/cli/command/Environment.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/Environment.java
@@ -7,27 +7,27 @@
 import org.tamaracktrack.core.id.PublicationId;
 
 /**
- * What a command finds around it.
+ * The environment that a command runs in.
  *
  * @param variables the environment variables
- * @param out for results
- * @param errors for messages
- * @param links opens the connections to outside systems
- * @param publications draws identifiers for publications
+ * @param out the stream for results
+ * @param errors the stream for error messages
+ * @param connections the connections to other systems
+ * @param newPublicationIds generates identifiers of publications
  */
 public record Environment(
         Map<String, String> variables,
         PrintStream out,
         PrintStream errors,
-        Links links,
-        Supplier<PublicationId> publications) {
+        Connections connections,
+        Supplier<PublicationId> newPublicationIds) {
 
-    /** Checks the arguments. */
+    /** Checks that no argument is null, and copies the variables. */
     public Environment {
         Objects.requireNonNull(out, "out is null");
         Objects.requireNonNull(errors, "errors is null");
-        Objects.requireNonNull(links, "links is null");
-        Objects.requireNonNull(publications, "publications is null");
+        Objects.requireNonNull(connections, "connections is null");
+        Objects.requireNonNull(newPublicationIds, "newPublicationIds is null");
         variables = Map.copyOf(variables);
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/HistoryCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/HistoryCommand.java
@@ -11,8 +11,10 @@
 import org.tamaracktrack.core.log.LogEntry.Publication;
 import org.tamaracktrack.core.log.LogRecord;
 
-/** Lists the publications that the log still holds, and what came of each. */
-@Parameters(commandDescription = "list the publications that the log holds, and what came of each")
+/**
+ * Lists the publications in the log and their outcomes. Records that have expired are not listed.
+ */
+@Parameters(commandDescription = "list the publications in the log and their outcomes")
 public final class HistoryCommand extends LogCommand {
     @Override
     public String name() {
@@ -27,7 +29,7 @@
     @Override
     public ExitCode run(Environment environment) {
         Output output = output(environment);
-        ConfigurationLog configuration = log().configuration(environment);
+        ConfigurationLog configuration = logOptions().configuration(environment);
         Table table =
                 Table.of(
                         "offset", "time", "outcome", "based on", "operator", "publication", "note");
--- a/cli/src/main/java/org/tamaracktrack/cli/command/LogCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/LogCommand.java
@@ -2,11 +2,11 @@
 
 import com.beust.jcommander.ParametersDelegate;
 
-/** A command that reads or writes the log. */
+/** Base class of the commands that read or write the log. */
 abstract class LogCommand extends BasicCommand {
-    @ParametersDelegate private final LogOptions log = new LogOptions();
+    @ParametersDelegate private final LogOptions logOptions = new LogOptions();
 
-    final LogOptions log() {
-        return log;
+    final LogOptions logOptions() {
+        return logOptions;
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/MovesCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/MovesCommand.java
@@ -6,8 +6,8 @@
 import org.tamaracktrack.cli.log.ReportLog;
 import org.tamaracktrack.cli.report.ReportTables;
 
-/** Says which loads, unloads and role changes were spent. */
-@Parameters(commandDescription = "loads, unloads and role changes, by target, kind and cause")
+/** Lists the number of loads, unloads and role changes, by target, kind and cause. */
+@Parameters(commandDescription = "count loads, unloads and role changes, by target, kind and cause")
 public final class MovesCommand extends LogCommand {
     @Override
     public String name() {
@@ -23,8 +23,10 @@
     public ExitCode run(Environment environment) {
         ReportTables tables =
                 ReportTables.of(
-                        ReportLog.read(log().log(environment), log().patience(environment)));
-        ReportOutput.write(environment, output(environment), tables, tables.moves());
+                        ReportLog.read(
+                                logOptions().logClient(environment),
+                                logOptions().retryTimer(environment)));
+        ReportOutput.write(environment, output(environment), tables, tables.moveTable());
         return ExitCode.OK;
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/NetworkLinks.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/NetworkConnections.java
@@ -7,28 +7,28 @@
 import org.tamaracktrack.link.log.HttpLogClient;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Opens connections over the network when they are first asked for. */
-public final class NetworkLinks implements Links {
+/** Opens connections over the network on first use. */
+public final class NetworkConnections implements Connections {
     private Optional<HttpCaller> http = Optional.empty();
 
-    private NetworkLinks() {}
+    private NetworkConnections() {}
 
     /**
-     * Returns links of which none is open yet.
+     * Returns an instance without open connections.
      *
-     * @return the links
+     * @return the instance
      */
-    public static NetworkLinks of() {
-        return new NetworkLinks();
+    public static NetworkConnections of() {
+        return new NetworkConnections();
     }
 
     @Override
-    public LogClient log(InetSocketAddress address) {
-        return HttpLogClient.of(http(), address);
+    public LogClient logClient(InetSocketAddress address) {
+        return HttpLogClient.of(httpCaller(), address);
     }
 
     @Override
-    public HttpCaller http() {
+    public HttpCaller httpCaller() {
         if (http.isEmpty()) {
             http = Optional.of(UndertowHttpCaller.of());
         }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/Numbers.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/Numbers.java
@@ -3,11 +3,11 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** Reads numbers from the command line. */
+/** Parses numbers of the command line. */
 final class Numbers {
     private Numbers() {}
 
-    static long whole(String name, String text, long maximum) {
+    static long parseWholeNumber(String name, String text, long maximum) {
         if (text.matches("\\d{1,18}") && Long.parseLong(text) <= maximum) {
             return Long.parseLong(text);
         }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import org.tamaracktrack.cli.ExitCode;
 import org.tamaracktrack.cli.log.ConfigurationLog;
-import org.tamaracktrack.cli.log.Patience;
 import org.tamaracktrack.cli.log.Publisher;
+import org.tamaracktrack.cli.log.RetryTimer;
 import org.tamaracktrack.cli.output.Output;
 import org.tamaracktrack.cli.output.OutputFormat;
 import org.tamaracktrack.core.config.ConfigurationEvent;
@@ -23,8 +23,8 @@
 import org.tamaracktrack.link.codec.ConfigurationDocuments;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Publishes a document and says what came of it after having read it back. */
-@Parameters(commandDescription = "publish a document; the verdict is read back from the log")
+/** Publishes a document, reads the outcome back from the log, and prints it. */
+@Parameters(commandDescription = "publish a document, and read the outcome back from the log")
 public final class PublishCommand extends LogCommand {
     private static final String BASED_ON = "--based-on";
 
@@ -34,17 +34,17 @@
             names = BASED_ON,
             order = 11,
             description =
-                    "the version that the document was written against, as `show` names it; by"
-                            + " default the one in force now")
+                    "the version that the document is based on, as printed by `show`; default:"
+                            + " the version in force")
     private String basedOn;
 
-    @Parameter(names = "--note", order = 12, description = "why, for the history")
+    @Parameter(names = "--note", order = 12, description = "the reason, for the history")
     private String note = "";
 
     @Parameter(
             names = "--publication",
             order = 13,
-            description = "the identifier of an earlier try whose outcome is unknown")
+            description = "the identifier of an earlier attempt whose outcome is unknown")
     private String publication;
 
     @Override
@@ -65,86 +65,86 @@
         Output output = output(environment);
         Map<String, Object> tree = document.document();
         if (ConfigurationReader.read(tree) instanceof ConfigurationReading.Rejected rejected) {
-            ReadingOutput.rejected(output, rejected.problems());
+            ValidationOutput.writeProblems(output, rejected.problems());
             return ExitCode.INVALID;
         }
-        LogClient client = log().log(environment);
-        Patience patience = log().patience(environment);
+        LogClient client = logOptions().logClient(environment);
+        RetryTimer timer = logOptions().retryTimer(environment);
         ConfigurationLog configuration = ConfigurationLog.of(client);
-        configuration.readToEnd(patience);
-        Publication wanted = publication(environment, configuration, tree);
-        ConfigurationEvent outcome = Publisher.of(client, configuration, patience).publish(wanted);
-        return report(output, wanted, outcome);
+        configuration.readToEnd(timer);
+        Publication request = publication(environment, configuration, tree);
+        ConfigurationEvent outcome = Publisher.of(client, configuration, timer).publish(request);
+        return report(output, request, outcome);
     }
 
     private Publication publication(
             Environment environment, ConfigurationLog configuration, Map<String, Object> tree) {
         long inForce = configuration.inForce().map(ConfigurationInForce::version).orElse(-1L);
-        long base =
+        long baseVersion =
                 Optional.ofNullable(basedOn)
                         .filter(text -> !text.equals("-1"))
-                        .map(text -> Numbers.whole(BASED_ON, text, Long.MAX_VALUE))
+                        .map(text -> Numbers.parseWholeNumber(BASED_ON, text, Long.MAX_VALUE))
                         .orElse(basedOn == null ? inForce : -1);
         PublicationId id =
                 Optional.ofNullable(publication)
                         .map(PublicationId::of)
-                        .orElseGet(environment.publications());
+                        .orElseGet(environment.newPublicationIds());
         return new Publication(
                 id,
-                base,
+                baseVersion,
                 ConfigurationDocuments.canonicalJson(tree),
-                log().operator(environment),
+                logOptions().operator(environment),
                 note);
     }
 
-    private static ExitCode report(Output output, Publication wanted, ConfigurationEvent outcome) {
+    private static ExitCode report(Output output, Publication request, ConfigurationEvent outcome) {
         if (outcome instanceof ConfigurationEvent.Accepted accepted) {
-            return accepted(output, wanted, accepted);
+            return accepted(output, request, accepted);
         }
         if (outcome instanceof ConfigurationEvent.Superseded superseded) {
-            return superseded(output, wanted, superseded);
+            return superseded(output, request, superseded);
         }
-        ReadingOutput.rejected(output, ((ConfigurationEvent.Invalid) outcome).problems());
+        ValidationOutput.writeProblems(output, ((ConfigurationEvent.Invalid) outcome).problems());
         return ExitCode.INVALID;
     }
 
     private static ExitCode accepted(
-            Output output, Publication wanted, ConfigurationEvent.Accepted accepted) {
+            Output output, Publication request, ConfigurationEvent.Accepted accepted) {
         List<Warning> warnings = accepted.warnings();
         if (output.format() == OutputFormat.TABLE) {
             if (!warnings.isEmpty()) {
-                output.table(ReadingOutput.warningTable(warnings));
+                output.table(ValidationOutput.warningTable(warnings));
             }
             output.line(
                     "accepted: version %d, publication %s, %d warnings"
                             .formatted(
                                     accepted.record().offset(),
-                                    wanted.publication(),
+                                    request.publication(),
                                     warnings.size()));
             return ExitCode.OK;
         }
         output.json(
                 result(
-                        wanted,
+                        request,
                         "accepted",
                         Map.of(
                                 "version",
                                 accepted.record().offset(),
                                 "warnings",
-                                ReadingOutput.warningTable(warnings).asMaps())));
+                                ValidationOutput.warningTable(warnings).asMaps())));
         return ExitCode.OK;
     }
 
     private static ExitCode superseded(
-            Output output, Publication wanted, ConfigurationEvent.Superseded superseded) {
+            Output output, Publication request, ConfigurationEvent.Superseded superseded) {
         output.line(
                 "superseded: version %d came first and this was based on %d; see what changed with"
-                                .formatted(superseded.versionInForce(), wanted.basedOn())
+                                .formatted(superseded.versionInForce(), request.basedOn())
                         + " `tamaracktrack diff FILE`, bring it in, and publish again");
         if (output.format() != OutputFormat.TABLE) {
             output.json(
                     result(
-                            wanted,
+                            request,
                             "superseded",
                             Map.of("versionInForce", superseded.versionInForce())));
         }
@@ -152,11 +152,11 @@
     }
 
     private static Map<String, Object> result(
-            Publication wanted, String outcome, Map<String, Object> details) {
+            Publication request, String outcome, Map<String, Object> details) {
         Map<String, Object> result = new LinkedHashMap<>(details);
         result.put("outcome", outcome);
-        result.put("publication", wanted.publication().value());
-        result.put("basedOn", wanted.basedOn());
+        result.put("publication", request.publication().value());
+        result.put("basedOn", request.basedOn());
         return result;
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ReportCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ReportCommand.java
@@ -9,8 +9,11 @@
 import org.tamaracktrack.cli.report.ReportTables;
 import org.tamaracktrack.core.id.ClientAccountId;
 
-/** Says who got what. */
-@Parameters(commandDescription = "who got what, by client account, model and class")
+/**
+ * Reports the outcomes of requests and the tokens, by client account, model or service, and request
+ * class.
+ */
+@Parameters(commandDescription = "request outcomes and tokens, by client account, model and class")
 public final class ReportCommand extends LogCommand {
     @Parameter(names = "--account", order = 10, description = "only this client account")
     private String account;
@@ -31,9 +34,11 @@
     public ExitCode run(Environment environment) {
         ReportTables tables =
                 ReportTables.of(
-                        ReportLog.read(log().log(environment), log().patience(environment)));
+                        ReportLog.read(
+                                logOptions().logClient(environment),
+                                logOptions().retryTimer(environment)));
         Optional<ClientAccountId> only = Optional.ofNullable(account).map(ClientAccountId::of);
-        ReportOutput.write(environment, output(environment), tables, tables.service(only));
+        ReportOutput.write(environment, output(environment), tables, tables.serviceTable(only));
         return ExitCode.OK;
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ReportOutput.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ReportOutput.java
@@ -7,12 +7,12 @@
 import org.tamaracktrack.cli.output.Table;
 import org.tamaracktrack.cli.report.ReportTables;
 
-/** Writes a table of a report together with the span for which it holds. */
+/** Writes a table of a report together with the period that it covers. */
 final class ReportOutput {
     private ReportOutput() {}
 
-    // A table without its span would be taken for the whole truth; as CSV it has no place for it,
-    // so there the span goes to the error stream.
+    // Without the period, a reader could take an incomplete report for a complete one. CSV has no
+    // place for it, so the period goes to the error stream in that format.
     static void write(Environment environment, Output output, ReportTables tables, Table table) {
         if (output.format() == OutputFormat.JSON) {
             Map<String, Object> result = new LinkedHashMap<>(tables.span());
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ShowCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ShowCommand.java
@@ -12,7 +12,7 @@
 import org.tamaracktrack.link.codec.Codecs;
 import org.tamaracktrack.link.codec.ConfigurationDocuments;
 
-/** Shows the document in force. */
+/** Prints the configuration document in force. */
 @Parameters(commandDescription = "show the document in force, ready to be edited and published")
 public final class ShowCommand extends LogCommand {
     @Override
@@ -29,7 +29,7 @@
     @Override
     public ExitCode run(Environment environment) {
         Output output = output(environment);
-        ConfigurationInForce inForce = log().inForce(environment);
+        ConfigurationInForce inForce = logOptions().inForce(environment);
         Map<String, Object> tree = ConfigurationDocuments.parseJson(inForce.document());
         if (output.format() == OutputFormat.JSON) {
             Map<String, Object> result = new LinkedHashMap<>();
--- a/cli/src/main/java/org/tamaracktrack/cli/command/StatusCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/StatusCommand.java
@@ -13,7 +13,7 @@
 import org.tamaracktrack.cli.ExitCode;
 import org.tamaracktrack.cli.log.ConfigurationLog;
 import org.tamaracktrack.cli.log.OwnershipLog;
-import org.tamaracktrack.cli.log.Patience;
+import org.tamaracktrack.cli.log.RetryTimer;
 import org.tamaracktrack.cli.log.StreamReader;
 import org.tamaracktrack.cli.output.Output;
 import org.tamaracktrack.cli.output.OutputFormat;
@@ -30,19 +30,23 @@
 import org.tamaracktrack.link.http.HttpCallException;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Shows the parts of the system, as the log and the entry daemons know them. */
-@Parameters(commandDescription = "targets and their owners, duties, plan, and entry daemons")
+/**
+ * Prints the targets, duties and plan as recorded in the log, and the readiness of the entry
+ * daemons.
+ */
+@Parameters(
+        commandDescription = "show targets and their owners, duties, the plan, and entry daemons")
 public final class StatusCommand extends LogCommand {
     private static final long ENTRY_TIMEOUT_MILLIS = 2_000;
-    private static final int OK = 200;
+    private static final int STATUS_OK = 200;
 
     @Parameter(
             names = "--entry",
             order = 10,
-            description = "an entry daemon's HTTP address, to ask whether it is ready; repeatable")
+            description = "HTTP address of an entry daemon whose readiness to query; repeatable")
     private List<String> entries = new ArrayList<>();
 
-    private record Plan(PlanRegister register, long newestMillis) {}
+    private record Plan(PlanRegister register, long newestRecordMillis) {}
 
     @Override
     public String name() {
@@ -59,17 +63,17 @@
     @Override
     public ExitCode run(Environment environment) {
         Output output = output(environment);
-        LogClient client = log().log(environment);
-        Patience patience = log().patience(environment);
+        LogClient client = logOptions().logClient(environment);
+        RetryTimer timer = logOptions().retryTimer(environment);
         ConfigurationLog configuration = ConfigurationLog.of(client);
-        configuration.readToEnd(patience);
+        configuration.readToEnd(timer);
         Optional<ConfigurationInForce> inForce = configuration.inForce();
         OwnershipLog ownership = OwnershipLog.of(client);
-        ownership.readToEnd(patience);
-        Plan plan = plan(client, patience);
+        ownership.readToEnd(timer);
+        Plan plan = readPlan(client, timer);
         Map<String, Table> tables = new LinkedHashMap<>();
-        tables.put("targets", targets(inForce, ownership));
-        tables.put("duties", duties(plan));
+        tables.put("targets", targetTable(inForce, ownership));
+        tables.put("duties", dutyTable(plan));
         if (!entries.isEmpty()) {
             tables.put("entries", entries(environment));
         }
@@ -93,7 +97,7 @@
         }
         output.line(
                 version < 0
-                        ? "no configuration was published yet"
+                        ? "no configuration has been published"
                         : "configuration: version " + version);
         output.line(
                 plan.register()
@@ -113,21 +117,23 @@
                 .formatted(offset, plan.placements().size(), plan.configurationVersion());
     }
 
-    private static Plan plan(LogClient client, Patience patience) {
+    private static Plan readPlan(LogClient client, RetryTimer timer) {
         PlanRegister register = PlanRegister.empty();
-        AtomicLong newestMillis = new AtomicLong();
+        AtomicLong newestRecordMillis = new AtomicLong();
         StreamReader.of(
                         client,
                         LogStream.PLAN,
                         record -> {
-                            newestMillis.accumulateAndGet(record.appendedAtMillis(), Math::max);
+                            newestRecordMillis.accumulateAndGet(
+                                    record.appendedAtMillis(), Math::max);
                             register.handle(record);
                         })
-                .readToEnd(patience);
-        return new Plan(register, newestMillis.get());
+                .readToEnd(timer);
+        return new Plan(register, newestRecordMillis.get());
     }
 
-    private static Table targets(Optional<ConfigurationInForce> inForce, OwnershipLog ownership) {
+    private static Table targetTable(
+            Optional<ConfigurationInForce> inForce, OwnershipLog ownership) {
         Table table =
                 Table.of(
                         "target",
@@ -141,7 +147,7 @@
                         "leaving");
         inForce.stream()
                 .flatMap(found -> found.configuration().targets().values().stream())
-                .sorted((one, other) -> one.id().compareTo(other.id()))
+                .sorted((left, right) -> left.id().compareTo(right.id()))
                 .forEach(target -> addTarget(table, target, ownership));
         return table;
     }
@@ -164,21 +170,25 @@
                         .orElse("no"));
     }
 
-    private static Table duties(Plan plan) {
+    private static Table dutyTable(Plan plan) {
         Table table = Table.of("duty", "holder", "term", "lease");
         Arrays.stream(Duty.values()).forEach(duty -> addDuty(table, plan, duty));
         return table;
     }
 
-    // Whether a lease is in force is judged by the newest record's time, since the clock of the
-    // operator's host says nothing about the log's.
+    // Compares the lease with the time of the newest record, since the clock of the operator's host
+    // may differ from the clock of the log.
     private static void addDuty(Table table, Plan plan, Duty duty) {
         Optional<Lease> last = plan.register().leases().last(duty);
         table.row(
                 duty.text(),
                 last.map(lease -> lease.holder().value()).orElse("none"),
                 last.map(Lease::term).orElse(-1L),
-                last.map(lease -> lease.isInForceAt(plan.newestMillis()) ? "in force" : "lapsed")
+                last.map(
+                                lease ->
+                                        lease.isInForceAt(plan.newestRecordMillis())
+                                                ? "in force"
+                                                : "lapsed")
                         .orElse("-"));
     }
 
@@ -193,11 +203,11 @@
         try {
             int status =
                     environment
-                            .links()
-                            .http()
+                            .connections()
+                            .httpCaller()
                             .call(HttpCall.get(address, "/readyz", ENTRY_TIMEOUT_MILLIS))
                             .status();
-            return status == OK ? "yes" : "no, status " + status;
+            return status == STATUS_OK ? "yes" : "no, status " + status;
         } catch (HttpCallException failure) {
             return "unreachable, " + failure.failure().text();
         }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ValidateCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ValidateCommand.java
@@ -9,7 +9,7 @@
 import org.tamaracktrack.core.config.ConfigurationReading;
 
 /** Checks a document without publishing it. */
-@Parameters(commandDescription = "check a document whole, without the log")
+@Parameters(commandDescription = "check a document without publishing it; needs no log")
 public final class ValidateCommand extends BasicCommand {
     @ParametersDelegate private final DocumentOptions document = new DocumentOptions();
 
@@ -30,10 +30,11 @@
         Output output = output(environment);
         ConfigurationReading reading = ConfigurationReader.read(document.document());
         if (reading instanceof ConfigurationReading.Accepted accepted) {
-            ReadingOutput.accepted(output, accepted.warnings());
+            ValidationOutput.writeWarnings(output, accepted.warnings());
             return ExitCode.OK;
         }
-        ReadingOutput.rejected(output, ((ConfigurationReading.Rejected) reading).problems());
+        ValidationOutput.writeProblems(
+                output, ((ConfigurationReading.Rejected) reading).problems());
         return ExitCode.INVALID;
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ReadingOutput.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ValidationOutput.java
@@ -8,11 +8,11 @@
 import org.tamaracktrack.core.config.Problem;
 import org.tamaracktrack.core.config.Warning;
 
-/** Writes the problems and warnings of a document. */
-final class ReadingOutput {
-    private ReadingOutput() {}
+/** Writes the problems and warnings that were found in a document. */
+final class ValidationOutput {
+    private ValidationOutput() {}
 
-    static void rejected(Output output, List<Problem> problems) {
+    static void writeProblems(Output output, List<Problem> problems) {
         Table table = Table.of("path", "kind", "found", "allowed");
         problems.forEach(
                 problem ->
@@ -29,7 +29,7 @@
         output.line(problems.size() + " problems; nothing was published");
     }
 
-    static void accepted(Output output, List<Warning> warnings) {
+    static void writeWarnings(Output output, List<Warning> warnings) {
         Table table = warningTable(warnings);
         if (output.format() == OutputFormat.JSON) {
             output.json(Map.of("valid", true, "warnings", table.asMaps()));
--- a/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
@@ -14,7 +14,7 @@
 import org.tamaracktrack.link.codec.ConfigurationDocuments;
 import org.tamaracktrack.link.log.LogClient;
 
-/** The configuration stream as every daemon reads it. */
+/** Reads the configuration stream of the log by the same rules as the daemons. */
 public final class ConfigurationLog {
     private final ConfigurationRegister register =
             ConfigurationRegister.of(ConfigurationDocuments::parseJson);
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns a reader of the stream that has read nothing.
+     * Returns a reader that starts at the oldest record.
      *
      * @param log the log
      * @return the reader
@@ -43,20 +43,20 @@
     }
 
     /**
-     * Reads to the end of the stream.
+     * Reads all records up to the end of the stream.
      *
-     * @param patience how often to try when the log can't be read
+     * @param timer limits the retries of failed reads
      */
-    public void readToEnd(Patience patience) {
-        reader.readToEnd(patience);
+    public void readToEnd(RetryTimer timer) {
+        reader.readToEnd(timer);
     }
 
     /**
      * Returns the configuration in force.
      *
-     * @return the configuration; empty when nothing was published yet
-     * @throws TamaracktrackException with {@code LOG_GAP} when records expired and the log holds no
-     *     snapshot to go on from, so that nobody can tell
+     * @return the configuration; empty if none has been published
+     * @throws TamaracktrackException with {@code LOG_GAP} if records have expired and the log has
+     *     no snapshot that covers them, so that the configuration in force can't be determined
      */
     public Optional<ConfigurationInForce> inForce() {
         if (register.awaitsSnapshot()) {
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Returns what was made of the records read so far.
+     * Returns the events that resulted from the records read so far.
      *
      * @return the events, oldest first
      */
@@ -79,16 +79,17 @@
     }
 
     /**
-     * Returns what came of a publication: what came of the first record with its identifier.
+     * Returns the outcome of a publication, which is the outcome of the first record with its
+     * identifier.
      *
-     * @param publication the publication
-     * @return what came of it; empty when it was not read
+     * @param publication the identifier of the publication
+     * @return the outcome; empty if no such record has been read
      */
     public Optional<ConfigurationEvent> outcome(PublicationId publication) {
-        return events.stream().filter(event -> concerns(event, publication)).findFirst();
+        return events.stream().filter(event -> isOutcomeOf(event, publication)).findFirst();
     }
 
-    private static boolean concerns(ConfigurationEvent event, PublicationId publication) {
+    private static boolean isOutcomeOf(ConfigurationEvent event, PublicationId publication) {
         if (event instanceof ConfigurationEvent.Accepted accepted) {
             return accepted.publication().publication().equals(publication);
         }
--- a/cli/src/main/java/org/tamaracktrack/cli/log/OwnershipLog.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/OwnershipLog.java
@@ -11,18 +11,18 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Who owns each target, and which are asked to leave. */
+/** Reads the ownership stream of the log: the owner of each target, and the drain requests. */
 public final class OwnershipLog {
     private final Map<TargetId, Owner> owners = new TreeMap<>();
     private final Map<TargetId, DrainRequested> drains = new TreeMap<>();
     private final StreamReader reader;
 
     /**
-     * The owner of a target.
+     * The newest owner of a target.
      *
-     * @param fencing its fencing number
-     * @param sinceMillis when the log took its record
-     * @param record what it wrote
+     * @param fencing the fencing number of the owner
+     * @param sinceMillis the time at which its record was appended, in milliseconds since the epoch
+     * @param record the record that it appended
      */
     public record Owner(long fencing, long sinceMillis, OwnershipTaken record) {}
 
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Returns a reader of the stream that has read nothing.
+     * Returns a reader that starts at the oldest record.
      *
      * @param log the log
      * @return the reader
@@ -42,12 +42,12 @@
     }
 
     /**
-     * Reads to the end of the stream.
+     * Reads all records up to the end of the stream.
      *
-     * @param patience how often to try when the log can't be read
+     * @param timer limits the retries of failed reads
      */
-    public void readToEnd(Patience patience) {
-        reader.readToEnd(patience);
+    public void readToEnd(RetryTimer timer) {
+        reader.readToEnd(timer);
     }
 
     private void handle(LogRecord record) {
@@ -63,17 +63,17 @@
      * Returns the owner of a target.
      *
      * @param target the target
-     * @return the owner, if the log names one
+     * @return the owner; empty if the records read contain none
      */
     public Optional<Owner> owner(TargetId target) {
         return Optional.ofNullable(owners.get(target));
     }
 
     /**
-     * Returns the newest request that a target leave, or stay.
+     * Returns the newest request to drain a target or to cancel its drain.
      *
      * @param target the target
-     * @return the request, if there is one
+     * @return the request; empty if there is none
      */
     public Optional<DrainRequested> drain(TargetId target) {
         return Optional.ofNullable(drains.get(target));
--- a/cli/src/main/java/org/tamaracktrack/cli/log/Publisher.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/Publisher.java
@@ -10,18 +10,18 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Publishes a configuration and reads back what came of it. */
+/** Publishes a configuration and reads its outcome back from the log. */
 public final class Publisher {
     private final LogClient log;
     private final ConfigurationLog configuration;
-    private final Patience patience;
-    private boolean perhapsWritten;
-    private boolean written;
+    private final RetryTimer timer;
+    private boolean possiblyAppended;
+    private boolean appendConfirmed;
 
-    private Publisher(LogClient log, ConfigurationLog configuration, Patience patience) {
+    private Publisher(LogClient log, ConfigurationLog configuration, RetryTimer timer) {
         this.log = log;
         this.configuration = configuration;
-        this.patience = patience;
+        this.timer = timer;
     }
 
     /**
@@ -29,54 +29,56 @@
      *
      * @param log the log
      * @param configuration the configuration stream, read to its end
-     * @param patience how often to try when the log is out
+     * @param timer limits the retries when the log is unavailable
      * @return the publisher
      */
-    public static Publisher of(LogClient log, ConfigurationLog configuration, Patience patience) {
+    public static Publisher of(LogClient log, ConfigurationLog configuration, RetryTimer timer) {
         Objects.requireNonNull(log, "log is null");
         Objects.requireNonNull(configuration, "configuration is null");
-        Objects.requireNonNull(patience, "patience is null");
-        return new Publisher(log, configuration, patience);
+        Objects.requireNonNull(timer, "timer is null");
+        return new Publisher(log, configuration, timer);
     }
 
     /**
-     * Publishes.
+     * Appends a publication and reads its outcome back.
      *
-     * @param publication what to publish
-     * @return what came of it, as read back from the log
-     * @throws TamaracktrackException with {@code SUPERSEDED} when it was not written because
-     *     another version is in force, {@code LOG_UNAVAILABLE} when it was certainly not written,
-     *     {@code LOG_OUTCOME_UNKNOWN} when it was or may have been and could not be read back
+     * @param publication the publication
+     * @return the outcome, as read back from the log
+     * @throws TamaracktrackException with {@code SUPERSEDED} if nothing was written because another
+     *     version is in force; with {@code LOG_UNAVAILABLE} if nothing was written because the log
+     *     is unavailable; with {@code LOG_OUTCOME_UNKNOWN} if the publication was or may have been
+     *     written, but could not be read back
      */
-    // The answer to an append may be lost after the record was written. Told "failed", the operator
-    // would publish again and may undo a colleague's change. So the verdict is always what the log
-    // holds, and every try carries the same identifier, of which readers count the first only.
+    // The response to an append may be lost after the record was written. If the tool reported a
+    // failure then, the operator would publish again and might revert the change of another
+    // operator. The outcome is therefore always read from the log. All attempts have the same
+    // identifier, and readers ignore all but the first record with an identifier.
     public ConfigurationEvent publish(Publication publication) {
         Objects.requireNonNull(publication, "publication is null");
         try {
-            return tryUntilRead(publication);
+            return appendUntilReadBack(publication);
         } catch (TamaracktrackException failure) {
-            if (perhapsWritten && failure.code() == ErrorCode.LOG_UNAVAILABLE) {
-                throw unknown(publication, failure);
+            if (possiblyAppended && failure.code() == ErrorCode.LOG_UNAVAILABLE) {
+                throw outcomeUnknown(publication, failure);
             }
             throw failure;
         }
     }
 
-    private ConfigurationEvent tryUntilRead(Publication publication) {
+    private ConfigurationEvent appendUntilReadBack(Publication publication) {
         while (true) {
-            configuration.readToEnd(patience);
+            configuration.readToEnd(timer);
             Optional<ConfigurationEvent> outcome = configuration.outcome(publication.publication());
             if (outcome.isPresent()) {
                 return outcome.get();
             }
-            if (!perhapsWritten) {
-                checkBase(publication);
+            if (!possiblyAppended) {
+                checkBaseVersion(publication);
             }
-            if (!written) {
+            if (!appendConfirmed) {
                 append(publication);
-            } else if (!patience.another()) {
-                throw unknown(publication, null);
+            } else if (!timer.awaitNextAttempt()) {
+                throw outcomeUnknown(publication, null);
             }
         }
     }
@@ -84,17 +86,17 @@
     private void append(Publication publication) {
         try {
             log.append(LogStream.CONFIGURATION, publication);
-            perhapsWritten = true;
-            written = true;
+            possiblyAppended = true;
+            appendConfirmed = true;
         } catch (TamaracktrackException failure) {
-            perhapsWritten |= failure.code() == ErrorCode.LOG_OUTCOME_UNKNOWN;
-            if (!patience.another()) {
-                throw perhapsWritten ? unknown(publication, failure) : failure;
+            possiblyAppended |= failure.code() == ErrorCode.LOG_OUTCOME_UNKNOWN;
+            if (!timer.awaitNextAttempt()) {
+                throw possiblyAppended ? outcomeUnknown(publication, failure) : failure;
             }
         }
     }
 
-    private void checkBase(Publication publication) {
+    private void checkBaseVersion(Publication publication) {
         long inForce = configuration.inForce().map(ConfigurationInForce::version).orElse(-1L);
         if (inForce != publication.basedOn()) {
             throw TamaracktrackException.of(
@@ -108,7 +110,7 @@
         }
     }
 
-    private static TamaracktrackException unknown(
+    private static TamaracktrackException outcomeUnknown(
             Publication publication, TamaracktrackException failure) {
         return TamaracktrackException.of(
                 ErrorCode.LOG_OUTCOME_UNKNOWN,
--- a/cli/src/main/java/org/tamaracktrack/cli/log/ReportLog.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/ReportLog.java
@@ -6,31 +6,33 @@
 import org.tamaracktrack.core.report.ReportRollUp;
 import org.tamaracktrack.link.log.LogClient;
 
-/** The reports stream, summed. */
+/** Reads the reports stream of the log and aggregates it. */
 public final class ReportLog {
     private ReportLog() {}
 
     /**
-     * Reads the stream to its end and sums it. Whether a process is silent is judged by the time of
-     * the newest record, so that the clock of the operator's host does not matter.
+     * Reads the stream to its end and aggregates the counters. A process counts as missing by
+     * comparison with the time of the newest record, so the clock of the operator's host has no
+     * influence.
      *
      * @param log the log
-     * @param patience how often to try when the log can't be read
+     * @param timer limits the retries of failed reads
      * @return the report
      */
-    public static Report read(LogClient log, Patience patience) {
+    public static Report read(LogClient log, RetryTimer timer) {
         ReportRollUp rollUp = ReportRollUp.empty(ReportRollUp.DEFAULT_MISSING_AFTER_MILLIS);
-        AtomicLong newestMillis = new AtomicLong();
+        AtomicLong newestRecordMillis = new AtomicLong();
         StreamReader.of(
                         log,
                         LogStream.REPORTS,
                         record -> {
-                            newestMillis.accumulateAndGet(record.appendedAtMillis(), Math::max);
+                            newestRecordMillis.accumulateAndGet(
+                                    record.appendedAtMillis(), Math::max);
                             rollUp.handle(record);
                         },
                         offset -> {},
                         rollUp::handleGap)
-                .readToEnd(patience);
-        return rollUp.report(newestMillis.get());
+                .readToEnd(timer);
+        return rollUp.report(newestRecordMillis.get());
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/log/StreamReader.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/StreamReader.java
@@ -8,16 +8,19 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** Reads one stream from its oldest record to its end, and on from there. */
+/**
+ * Reads one stream of the log. Starts at the oldest record, and continues where the last read
+ * ended.
+ */
 public final class StreamReader {
-    private static final int BATCH = 500;
+    private static final int BATCH_RECORDS = 500;
 
     private final LogClient log;
     private final LogStream stream;
     private final Consumer<LogRecord> onRecord;
     private final LongConsumer onUndecodable;
     private final LongConsumer onGap;
-    private long next;
+    private long nextOffset;
 
     private StreamReader(
             LogClient log,
@@ -33,13 +36,14 @@
     }
 
     /**
-     * Returns a reader that hears of gaps.
+     * Returns a reader that reports undecodable records and gaps.
      *
      * @param log the log
      * @param stream the stream
-     * @param onRecord hears of each record
-     * @param onUndecodable hears of the offsets of records that are not understood
-     * @param onGap hears of the oldest offset there is when records before it expired unread
+     * @param onRecord receives each record
+     * @param onUndecodable receives the offsets of records that can't be decoded
+     * @param onGap receives the oldest available offset if earlier records expired before they were
+     *     read
      * @return the reader
      */
     public static StreamReader of(
@@ -54,11 +58,11 @@
     }
 
     /**
-     * Returns a reader of a stream in which only what there still is counts.
+     * Returns a reader that ignores undecodable records and gaps.
      *
      * @param log the log
      * @param stream the stream
-     * @param onRecord hears of each record
+     * @param onRecord receives each record
      * @return the reader
      */
     public static StreamReader of(LogClient log, LogStream stream, Consumer<LogRecord> onRecord) {
@@ -66,22 +70,23 @@
     }
 
     /**
-     * Reads to the end. A log that can't be read is tried again.
+     * Reads all records up to the end of the stream. Retries failed reads.
      *
-     * @param patience how often
-     * @throws TamaracktrackException with {@code LOG_UNAVAILABLE} when the patience is over
+     * @param timer limits the retries
+     * @throws TamaracktrackException with {@code LOG_UNAVAILABLE} if the log can't be read within
+     *     the time limit
      */
-    public void readToEnd(Patience patience) {
-        while (!readBatch(patience)) {
+    public void readToEnd(RetryTimer timer) {
+        while (!readBatch(timer)) {
             continue;
         }
     }
 
-    private boolean readBatch(Patience patience) {
+    private boolean readBatch(RetryTimer timer) {
         try {
-            return deliver(log.read(stream, next, BATCH, 0));
+            return deliver(log.read(stream, nextOffset, BATCH_RECORDS, 0));
         } catch (TamaracktrackException failure) {
-            if (!patience.another()) {
+            if (!timer.awaitNextAttempt()) {
                 throw failure;
             }
             return false;
@@ -89,14 +94,16 @@
     }
 
     private boolean deliver(LogClient.Batch batch) {
-        if (batch.firstOffset() > next) {
+        if (batch.firstOffset() > nextOffset) {
             onGap.accept(batch.firstOffset());
         }
         batch.undecodable().forEach(onUndecodable::accept);
         batch.records().forEach(onRecord);
         long last = batch.records().stream().mapToLong(LogRecord::offset).max().orElse(-1);
         long undecodable = batch.undecodable().stream().mapToLong(Long::longValue).max().orElse(-1);
-        next = Math.max(Math.max(next, batch.firstOffset()), Math.max(last, undecodable) + 1);
-        return next >= batch.nextOffset();
+        nextOffset =
+                Math.max(
+                        Math.max(nextOffset, batch.firstOffset()), Math.max(last, undecodable) + 1);
+        return nextOffset >= batch.nextOffset();
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/output/Output.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/output/Output.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 import org.tamaracktrack.link.codec.Codecs;
 
-/** Where a command writes its result. */
+/** Writes the result of a command in the requested format. */
 public final class Output {
     private final PrintStream stream;
     private final OutputFormat format;
@@ -18,8 +18,8 @@
     /**
      * Returns an output.
      *
-     * @param stream where to
-     * @param format in which form
+     * @param stream the stream to write to
+     * @param format the format
      * @return the output
      */
     public static Output of(PrintStream stream, OutputFormat format) {
@@ -29,16 +29,16 @@
     }
 
     /**
-     * Returns the form of the output.
+     * Returns the format of the output.
      *
-     * @return the form
+     * @return the format
      */
     public OutputFormat format() {
         return format;
     }
 
     /**
-     * Writes a table.
+     * Writes a table in the requested format.
      *
      * @param table the table
      */
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Writes a value as JSON, whatever the form.
+     * Writes a value as JSON, whatever the format.
      *
      * @param value the value
      */
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Writes a line for people; left out unless the form is a table.
+     * Writes a line of text if the format is a table. Writes nothing otherwise.
      *
      * @param line the line
      */
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Writes text as it is.
+     * Writes text without a line break, whatever the format.
      *
      * @param text the text
      */
--- a/cli/src/main/java/org/tamaracktrack/cli/output/OutputFormat.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/output/OutputFormat.java
@@ -1,6 +1,6 @@
 package org.tamaracktrack.cli.output;
 
-/** How results are written. */
+/** The formats of results. */
 public enum OutputFormat {
     TABLE,
     JSON,
--- a/cli/src/main/java/org/tamaracktrack/cli/output/Table.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/output/Table.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Rows under named columns. */
+/** A table with named columns. */
 public final class Table {
     private final List<String> columns;
     private final List<List<Object>> rows = new ArrayList<>();
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Returns the rows as maps, for JSON.
+     * Returns the rows as maps, to be encoded as JSON.
      *
-     * @return one map for each row, columns in order
+     * @return one map for each row, from column name to value, in the order of the columns
      */
     public List<Map<String, Object>> asMaps() {
         return rows.stream().map(this::asMap).toList();
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns the table as CSV after RFC 4180.
+     * Returns the table as CSV in the format of RFC 4180.
      *
      * @return the lines
      */
@@ -73,23 +73,27 @@
         lines.add(new ArrayList<>(columns));
         lines.addAll(rows);
         return lines.stream()
-                .map(line -> line.stream().map(Table::quoted).collect(Collectors.joining(",")))
+                .map(line -> line.stream().map(Table::csvField).collect(Collectors.joining(",")))
                 .collect(Collectors.joining(System.lineSeparator()));
     }
 
     private Map<String, Object> asMap(List<Object> row) {
         Map<String, Object> map = new LinkedHashMap<>();
         IntStream.range(0, columns.size())
-                .forEach(index -> map.put(columns.get(index), plain(row.get(index))));
+                .forEach(index -> map.put(columns.get(index), jsonValue(row.get(index))));
         return map;
     }
 
-    private static Object plain(Object value) {
+    private static Object jsonValue(Object value) {
         return value instanceof Number ? value : value.toString();
     }
 
     private int width(int column) {
-        int widest = rows.stream().mapToInt(row -> shown(row.get(column)).length()).max().orElse(0);
+        int widest =
+                rows.stream()
+                        .mapToInt(row -> displayText(row.get(column)).length())
+                        .max()
+                        .orElse(0);
         return Math.max(widest, columns.get(column).length());
     }
 
@@ -101,16 +105,16 @@
     }
 
     private static String padded(Object value, int width) {
-        String space = " ".repeat(width - shown(value).length());
-        return value instanceof Number ? space + shown(value) : shown(value) + space;
+        String space = " ".repeat(width - displayText(value).length());
+        return value instanceof Number ? space + displayText(value) : displayText(value) + space;
     }
 
-    // A note may hold anything an operator typed; a line break in it would look like another row.
-    private static String shown(Object value) {
+    // Notes are free text of operators. A line break in a note would look like another row.
+    private static String displayText(Object value) {
         return value.toString().replaceAll("\\p{Cntrl}", " ");
     }
 
-    private static String quoted(Object value) {
+    private static String csvField(Object value) {
         String text = value.toString();
         return text.matches("[^\",\r\n]*") ? text : "\"" + text.replace("\"", "\"\"") + "\"";
     }
--- a/cli/src/main/java/org/tamaracktrack/cli/package-info.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/package-info.java
@@ -1,2 +1,5 @@
-/** The operators' tool: publishes configurations and shows what is in force and who got what. */
+/**
+ * The operators' command-line tool. Publishes configurations, and shows the configuration in force,
+ * the state of the targets, and reports on requests.
+ */
 package org.tamaracktrack.cli;
--- a/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
@@ -16,7 +16,9 @@
 import org.tamaracktrack.core.report.Report;
 import org.tamaracktrack.core.report.RequestOutcome;
 
-/** Tables of a report: who got what, the moves, and the span for which they hold. */
+/**
+ * Formats a report as tables: the outcomes of requests, the moves, and the period that they cover.
+ */
 public final class ReportTables {
     private final Report report;
 
@@ -48,12 +50,12 @@
     }
 
     /**
-     * Returns who got what.
+     * Returns the outcomes of requests and the tokens.
      *
-     * @param account only this client account, if given
-     * @return one row for each account, model or service, and class
+     * @param account the only client account to include; empty for all
+     * @return one row for each client account, model or service, and request class
      */
-    public Table service(Optional<ClientAccountId> account) {
+    public Table serviceTable(Optional<ClientAccountId> account) {
         Map<RowKey, ServiceRow> rows = new TreeMap<>();
         report.counters()
                 .forEach(
@@ -118,11 +120,11 @@
     }
 
     /**
-     * Returns the moves.
+     * Returns the number of loads, unloads and role changes.
      *
      * @return one row for each target, kind and cause
      */
-    public Table moves() {
+    public Table moveTable() {
         Table table = Table.of("target", "kind", "cause", "moves");
         report.counters().entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
@@ -142,9 +144,10 @@
     }
 
     /**
-     * Returns the span and what is missing from it, for JSON.
+     * Returns the period of the report and the processes whose final record is missing, to be
+     * encoded as JSON.
      *
-     * @return the span
+     * @return the values by key
      */
     public Map<String, Object> span() {
         Map<String, Object> span = new LinkedHashMap<>();
@@ -167,14 +170,14 @@
     }
 
     /**
-     * Returns the span and what is missing from it, for people.
+     * Returns the period of the report and the processes whose final record is missing, as text.
      *
      * @return the lines
      */
     public List<String> spanLines() {
         List<String> lines = new ArrayList<>();
         if (report.completeToMillis().isEmpty()) {
-            lines.add("no process has reported yet");
+            lines.add("no process has published a report");
             return lines;
         }
         lines.add(
@@ -184,13 +187,15 @@
                                 time(report.completeToMillis()),
                                 report.isComplete() ? "complete" : "NOT complete"));
         if (report.recordsLost()) {
-            lines.add("records expired before a roll-up covered them; earlier counts are lost");
+            lines.add(
+                    "records expired before a report snapshot covered them; earlier counts are"
+                        + " lost");
         }
         report.missing()
                 .forEach(
                         missing ->
                                 lines.add(
-                                        "missing: %s ended without a last record; counted to %s"
+                                        "missing: %s has no final record; counted up to %s"
                                                 .formatted(
                                                         missing.incarnation(),
                                                         time(missing.lastTakenMillis()))));
--- a/cli/src/main/java/org/tamaracktrack/cli/report/ServiceRow.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/report/ServiceRow.java
@@ -8,7 +8,7 @@
 import org.tamaracktrack.core.report.CounterName;
 import org.tamaracktrack.core.report.RequestOutcome;
 
-/** What one client account got of one model or service in one request class. */
+/** Totals of the requests and tokens of one client account, model or service, and request class. */
 public final class ServiceRow {
     private final Map<RequestOutcome.Kind, Long> outcomes = new TreeMap<>();
     private final Map<ErrorCode, Long> refusals = new TreeMap<>();
@@ -16,10 +16,10 @@
     private long answerTokens;
 
     /**
-     * Adds a counter of requests.
+     * Adds requests with an outcome.
      *
-     * @param outcome what became of them
-     * @param count how many
+     * @param outcome the outcome
+     * @param count the number to add
      */
     void add(RequestOutcome outcome, long count) {
         Objects.requireNonNull(outcome, "outcome is null");
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Adds a counter of tokens.
+     * Adds tokens.
      *
-     * @param kind read or generated
-     * @param count how many
+     * @param kind whether the tokens are of prompts or of answers
+     * @param count the number to add
      */
     void add(CounterName.TokenKind kind, long count) {
         if (kind == CounterName.TokenKind.PROMPT) {
@@ -42,19 +42,19 @@
     }
 
     /**
-     * Returns the requests with an outcome.
+     * Returns the number of requests with an outcome.
      *
      * @param kind the outcome
-     * @return how many
+     * @return the number
      */
     public long count(RequestOutcome.Kind kind) {
         return outcomes.getOrDefault(kind, 0L);
     }
 
     /**
-     * Returns the requests that were offered and have no outcome yet.
+     * Returns the number of requests that were offered and have no final outcome yet.
      *
-     * @return how many
+     * @return the number
      */
     public long inProgress() {
         long ended =
@@ -66,25 +66,25 @@
     }
 
     /**
-     * Returns the requests served within their class, of those offered that have ended and that the
-     * caller did not cancel.
+     * Returns the share of requests that met the limits of their request class. Requests that are
+     * in progress or were cancelled by the caller are not counted.
      *
-     * @return the part in percent with one decimal, or {@code -} when there are none
+     * @return the share in percent with one decimal, or {@code -} if there are no such requests
      */
     public String attainment() {
-        long judged =
+        long counted =
                 count(RequestOutcome.Kind.OFFERED)
                         - count(RequestOutcome.Kind.CANCELLED)
                         - inProgress();
-        return judged <= 0
+        return counted <= 0
                 ? "-"
-                : "%.1f%%".formatted(100.0 * count(RequestOutcome.Kind.IN_CLASS) / judged);
+                : "%.1f%%".formatted(100.0 * count(RequestOutcome.Kind.IN_CLASS) / counted);
     }
 
     /**
-     * Returns the refusals by reason.
+     * Returns the number of refusals for each reason.
      *
-     * @return reasons and counts
+     * @return the pairs {@code reason:count}, separated by spaces
      */
     public String refusalReasons() {
         return refusals.entrySet().stream()
@@ -93,18 +93,18 @@
     }
 
     /**
-     * Returns tokens read.
+     * Returns the number of prompt tokens.
      *
-     * @return how many
+     * @return the number
      */
     public long promptTokens() {
         return promptTokens;
     }
 
     /**
-     * Returns tokens generated.
+     * Returns the number of generated tokens.
      *
-     * @return how many
+     * @return the number
      */
     public long answerTokens() {
         return answerTokens;
--- a/cli/src/main/java/org/tamaracktrack/cli/report/package-info.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/report/package-info.java
@@ -1,2 +1,2 @@
-/** Arranges the sums of the reports stream as rows for operators. */
+/** Formats the totals of the reports stream as tables for operators. */
 package org.tamaracktrack.cli.report;
--- a/cli/src/test/java/org/tamaracktrack/cli/CommandLineTest.java
+++ b/cli/src/test/java/org/tamaracktrack/cli/CommandLineTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.tamaracktrack.cli.command.Connections;
 import org.tamaracktrack.cli.command.Environment;
-import org.tamaracktrack.cli.command.Links;
 import org.tamaracktrack.cli.log.FakeLog;
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
@@ -40,14 +40,14 @@
     private final AtomicInteger publications = new AtomicInteger();
     @TempDir private Path directory;
 
-    private final class FakeLinks implements Links {
+    private final class FakeConnections implements Connections {
         @Override
-        public LogClient log(InetSocketAddress address) {
+        public LogClient logClient(InetSocketAddress address) {
             return log;
         }
 
         @Override
-        public HttpCaller http() {
+        public HttpCaller httpCaller() {
             throw TamaracktrackException.of(ErrorCode.INTERNAL, "no HTTP in this test");
         }
 
@@ -67,7 +67,7 @@
                                 "50"),
                         new PrintStream(out, true, StandardCharsets.UTF_8),
                         new PrintStream(errors, true, StandardCharsets.UTF_8),
-                        new FakeLinks(),
+                        new FakeConnections(),
                         () -> PublicationId.of("p-" + publications.getAndIncrement()));
         return CommandLine.of(environment).run(arguments);
     }
@@ -89,20 +89,20 @@
     @Nested
     class Help {
         @Test
-        void shouldListCommandsAndExitCodesWhenAsked() {
+        void shouldListCommandsAndExitCodesWhenHelpIsRequested() {
             assertThat(run("--help")).isEqualTo(ExitCode.OK);
             assertThat(output()).contains("publish");
             assertThat(output()).contains("3  another publication came first");
         }
 
         @Test
-        void shouldShowExamplesWhenAskedForACommand() {
+        void shouldShowExamplesWhenHelpOfACommandIsRequested() {
             assertThat(run("publish", "--help")).isEqualTo(ExitCode.OK);
             assertThat(output()).contains("tamaracktrack publish configuration.yaml");
         }
 
         @Test
-        void shouldPointToTheHelpWhenTheCommandLineIsWrong() {
+        void shouldReferToTheHelpWhenTheCommandLineIsInvalid() {
             assertThat(run("publish", "--colour")).isEqualTo(ExitCode.USAGE);
             assertThat(errors()).contains("see `tamaracktrack --help`");
         }
@@ -124,7 +124,7 @@
         }
 
         @Test
-        void shouldRefuseWhenAKeyStandsTwice() throws IOException {
+        void shouldRejectTheDocumentWhenAKeyIsDuplicated() throws IOException {
             String file = changed("moveCost: 0.5", "moveCost: 0.5\nmoveCost: 9");
 
             assertThat(run("validate", file)).isEqualTo(ExitCode.INVALID);
@@ -132,7 +132,7 @@
         }
 
         @Test
-        void shouldUseParametersOfTheCommandLine() {
+        void shouldApplyParametersOfTheCommandLine() {
             assertThat(run("validate", SAMPLE, "--parameter", "engineOne=here"))
                     .isEqualTo(ExitCode.INVALID);
             assertThat(run("validate", SAMPLE, "--parameter", "engineNine=10.0.0.1:1"))
@@ -143,13 +143,13 @@
     @Nested
     class Publish {
         @Test
-        void shouldSayTheVersionWhenAccepted() {
+        void shouldPrintTheVersionWhenAccepted() {
             assertThat(run("publish", SAMPLE)).isEqualTo(ExitCode.OK);
             assertThat(output()).contains("accepted: version 0, publication p-0, 1 warnings");
         }
 
         @Test
-        void shouldSayWhatToDoWhenSuperseded() {
+        void shouldPrintTheNextStepWhenSuperseded() {
             run("publish", SAMPLE);
 
             assertThat(run("publish", SAMPLE, "--based-on", "-1")).isEqualTo(ExitCode.SUPERSEDED);
@@ -158,7 +158,7 @@
         }
 
         @Test
-        void shouldSayWhetherItWasWrittenWhenTheLogIsOut() {
+        void shouldReportLogUnavailableWhenTheLogCannotBeRead() {
             log.setReadable(false);
 
             assertThat(run("publish", SAMPLE)).isEqualTo(ExitCode.LOG_UNAVAILABLE);
@@ -166,9 +166,9 @@
     }
 
     @Nested
-    class ReadingBack {
+    class ReadingTheLog {
         @Test
-        void shouldShowWhatCanBePublishedAgain() throws IOException {
+        void shouldShowADocumentThatCanBePublishedAgain() throws IOException {
             run("publish", SAMPLE);
             assertThat(run("show")).isEqualTo(ExitCode.OK);
             Path file = directory.resolve("shown.yaml");
@@ -179,7 +179,7 @@
         }
 
         @Test
-        void shouldListWhatDiffers() throws IOException {
+        void shouldListDifferences() throws IOException {
             run("publish", SAMPLE);
             String file = changed("moveCost: 0.5", "moveCost: 2");
 
@@ -191,7 +191,7 @@
         @Test
         void shouldListTheHistoryWithItsOutcomes() {
             run("publish", SAMPLE, "--note", "first");
-            log.fail(List.of(FakeLog.Fault.WRITTEN_LATE));
+            log.enqueueFaults(List.of(FakeLog.Fault.WRITTEN_LATE));
             run("publish", SAMPLE, "--operator", "rosa");
 
             assertThat(run("history", "--output", "csv")).isEqualTo(ExitCode.OK);
@@ -211,13 +211,13 @@
         }
 
         @Test
-        void shouldSayThatNothingIsInForceWhenTheLogIsEmpty() {
+        void shouldReportNotFoundWhenTheLogIsEmpty() {
             assertThat(run("show")).isEqualTo(ExitCode.NOT_FOUND);
             assertThat(errors()).contains("tamaracktrack publish FILE");
         }
 
         @Test
-        void shouldNotGuessWhenRecordsExpiredWithoutASnapshot() {
+        void shouldReportNotFoundWhenRecordsExpiredWithoutASnapshot() {
             run("publish", SAMPLE);
             log.expireBefore(1);
 
@@ -228,7 +228,8 @@
 
     @Nested
     class Reports {
-        private void count(String process, long sequence, boolean last, Map<String, Long> sums) {
+        private void writeCounters(
+                String process, long sequence, boolean last, Map<String, Long> sums) {
             log.write(
                     LogStream.REPORTS,
                     new LogEntry.CountersPublished(
@@ -242,7 +243,7 @@
         }
 
         @Test
-        void shouldSumProcessesAndSayTheSpan() {
+        void shouldSumCountersOfAllProcessesAndPrintThePeriod() {
             Map<String, Long> counters =
                     Map.of(
                             "requests|store|reader|fast|offered",
@@ -255,9 +256,9 @@
                             2L,
                             "tokens|store|reader|fast|prompt",
                             30L);
-            count("entry-1", 1, true, counters);
-            count("entry-2", 1, true, counters);
-            count("entry-2", 1, true, counters);
+            writeCounters("entry-1", 1, true, counters);
+            writeCounters("entry-2", 1, true, counters);
+            writeCounters("entry-2", 1, true, counters);
 
             assertThat(run("report", "--output", "csv")).isEqualTo(ExitCode.OK);
 
@@ -270,16 +271,16 @@
         }
 
         @Test
-        void shouldSayNotCompleteWhenAProcessFellSilent() {
-            count("entry-1", 1, false, Map.of("requests|store|reader|fast|offered", 10L));
-            log.pass(400_000);
-            count("entry-2", 1, false, Map.of());
-            log.pass(9_000);
+        void shouldPrintNotCompleteWhenAProcessStoppedReporting() {
+            writeCounters("entry-1", 1, false, Map.of("requests|store|reader|fast|offered", 10L));
+            log.advanceClock(400_000);
+            writeCounters("entry-2", 1, false, Map.of());
+            log.advanceClock(9_000);
             LongStream.range(2, 30)
                     .forEach(
                             sequence -> {
-                                log.pass(9_000);
-                                count("entry-2", sequence, false, Map.of());
+                                log.advanceClock(9_000);
+                                writeCounters("entry-2", sequence, false, Map.of());
                             });
 
             assertThat(run("report")).isEqualTo(ExitCode.OK);
@@ -289,7 +290,7 @@
 
         @Test
         void shouldListMovesByTargetKindAndCause() {
-            count("target-1", 1, true, Map.of("moves|engine-1|load_model|home", 4L));
+            writeCounters("target-1", 1, true, Map.of("moves|engine-1|load_model|home", 4L));
 
             assertThat(run("moves", "--output", "csv")).isEqualTo(ExitCode.OK);
             assertThat(output().lines().toList().get(1)).isEqualTo("engine-1,load_model,home,4");
@@ -320,9 +321,9 @@
         }
 
         @Test
-        void shouldAskOnceWhenTheAnswerWasLost() {
+        void shouldAppendTheDrainRequestOnceWhenTheResponseWasLost() {
             run("publish", SAMPLE);
-            log.fail(List.of(FakeLog.Fault.ANSWER_LOST));
+            log.enqueueFaults(List.of(FakeLog.Fault.ANSWER_LOST));
 
             assertThat(run("drain", "engine-1")).isEqualTo(ExitCode.OK);
             assertThat(log.records(LogStream.OWNERSHIP)).hasSize(1);
@@ -331,7 +332,7 @@
         }
 
         @Test
-        void shouldRefuseWhenThereIsNoSuchTarget() {
+        void shouldReportNotFoundWhenTheTargetDoesNotExist() {
             run("publish", SAMPLE);
 
             assertThat(run("drain", "engine-9")).isEqualTo(ExitCode.NOT_FOUND);
--- a/cli/src/test/java/org/tamaracktrack/cli/log/FakeLog.java
+++ b/cli/src/test/java/org/tamaracktrack/cli/log/FakeLog.java
@@ -13,41 +13,41 @@
 import org.tamaracktrack.core.log.LogStream;
 import org.tamaracktrack.link.log.LogClient;
 
-/** A log in memory that fails as it is told, one fault for each append. */
+/** An in-memory log that injects faults into appends, in the order in which they were enqueued. */
 public final class FakeLog implements LogClient {
-    /** What happens to one append. */
+    /** The fault that is injected into one append. */
     public enum Fault {
         NONE,
         NOT_WRITTEN,
         ANSWER_LOST,
-        /** The answer is lost and the record written only after the next read. */
+        /** The response is lost, and the record is written only after the next read. */
         WRITTEN_LATE,
-        OTHER_COMES_FIRST
+        OTHER_APPENDED_FIRST
     }
 
     private final Map<LogStream, List<LogRecord>> streams = new EnumMap<>(LogStream.class);
     private final Deque<Fault> faults = new ArrayDeque<>();
-    private final Deque<LogEntry> late = new ArrayDeque<>();
-    private Runnable other = () -> {};
+    private final Deque<LogEntry> lateEntries = new ArrayDeque<>();
+    private Runnable otherOperatorAction = () -> {};
     private boolean readable = true;
     private long firstOffset;
-    private long passedMillis;
+    private long elapsedMillis;
 
-    public FakeLog fail(List<Fault> next) {
+    public FakeLog enqueueFaults(List<Fault> next) {
         faults.addAll(next);
         return this;
     }
 
-    public void otherOperator(Runnable action) {
-        other = action;
+    public void setOtherOperatorAction(Runnable action) {
+        otherOperatorAction = action;
     }
 
     public void setReadable(boolean value) {
         readable = value;
     }
 
-    public void pass(long millis) {
-        passedMillis += millis;
+    public void advanceClock(long millis) {
+        elapsedMillis += millis;
     }
 
     public void expireBefore(long offset) {
@@ -60,7 +60,7 @@
 
     public Appended write(LogStream stream, LogEntry entry) {
         List<LogRecord> records = records(stream);
-        long now = 1_000L + records.size() + passedMillis;
+        long now = 1_000L + records.size() + elapsedMillis;
         records.add(LogRecord.of(records.size(), now, entry));
         return new Appended(records.size() - 1, now);
     }
@@ -72,10 +72,10 @@
             case NOT_WRITTEN ->
                     throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "not written");
             case WRITTEN_LATE -> {
-                late.add(entry);
+                lateEntries.add(entry);
                 throw TamaracktrackException.of(ErrorCode.LOG_OUTCOME_UNKNOWN, "no answer");
             }
-            case OTHER_COMES_FIRST -> other.run();
+            case OTHER_APPENDED_FIRST -> otherOperatorAction.run();
             default -> {}
         }
         Appended appended = write(stream, entry);
@@ -88,11 +88,11 @@
     @Override
     public Batch read(LogStream stream, long from, int maximum, long waitMillis) {
         if (!readable) {
-            throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "out");
+            throw TamaracktrackException.of(ErrorCode.LOG_UNAVAILABLE, "the log can't be read");
         }
         List<LogRecord> records = List.copyOf(records(stream));
-        while (!late.isEmpty()) {
-            write(stream, late.removeFirst());
+        while (!lateEntries.isEmpty()) {
+            write(stream, lateEntries.removeFirst());
         }
         long start = Math.max(from, firstOffset);
         List<LogRecord> found =
--- a/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
+++ b/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
@@ -35,7 +35,7 @@
         }
     }
 
-    private static Patience patience(int tries) {
+    private static RetryTimer attempts(int tries) {
         AtomicInteger left = new AtomicInteger(tries);
         return () -> left.getAndDecrement() > 0;
     }
@@ -45,12 +45,12 @@
     }
 
     private ConfigurationEvent publish(Publication publication) {
-        return Publisher.of(log, ConfigurationLog.of(log), patience(20)).publish(publication);
+        return Publisher.of(log, ConfigurationLog.of(log), attempts(20)).publish(publication);
     }
 
     private long inForce() {
         ConfigurationLog reader = ConfigurationLog.of(log);
-        reader.readToEnd(patience(0));
+        reader.readToEnd(attempts(0));
         return reader.inForce().map(ConfigurationInForce::version).orElse(-1L);
     }
 
@@ -63,28 +63,28 @@
     }
 
     @Test
-    void shouldSayAcceptedWhenReadBack() {
+    void shouldReportAcceptedWhenReadBack() {
         assertThat(publish(publication("mine", -1)))
                 .isInstanceOf(ConfigurationEvent.Accepted.class);
     }
 
-    // The operator's append takes effect and its answer is lost. Told "failed", the operator would
-    // publish again on top of what others published since. The verdict has to come from the log,
-    // and one record is enough.
+    // The append is written, but its response is lost. If the tool reported a failure, the operator
+    // would publish again and overwrite what others have published since. The outcome must come
+    // from the log, without a second append.
     @Test
-    void shouldNotAppendAgainWhenTheAnswerWasLost() {
-        log.fail(List.of(FakeLog.Fault.ANSWER_LOST));
+    void shouldNotAppendAgainWhenTheResponseWasLost() {
+        log.enqueueFaults(List.of(FakeLog.Fault.ANSWER_LOST));
 
         assertThat(publish(publication("mine", -1)))
                 .isInstanceOf(ConfigurationEvent.Accepted.class);
         assertThat(log.records(LogStream.CONFIGURATION)).hasSize(1);
     }
 
-    // The first append is still under way when the tool reads, so it appends again, and both are
-    // written. The record that counts is the first; the second must not turn the verdict round.
+    // The first append is not yet written when the tool reads, so the tool appends again, and both
+    // records are written. The first record counts. The second must not change the outcome.
     @Test
-    void shouldSayAcceptedWhenTheFirstTryIsWrittenLate() {
-        log.fail(List.of(FakeLog.Fault.WRITTEN_LATE));
+    void shouldReportAcceptedWhenTheFirstAppendIsWrittenLate() {
+        log.enqueueFaults(List.of(FakeLog.Fault.WRITTEN_LATE));
 
         assertThat(publish(publication("mine", -1)))
                 .isInstanceOf(ConfigurationEvent.Accepted.class);
@@ -92,9 +92,10 @@
     }
 
     @Test
-    void shouldSaySupersededWhenAnotherOperatorCameFirst() {
-        log.otherOperator(() -> log.write(LogStream.CONFIGURATION, publication("theirs", -1)));
-        log.fail(List.of(FakeLog.Fault.OTHER_COMES_FIRST));
+    void shouldReportSupersededWhenAnotherOperatorPublishedFirst() {
+        log.setOtherOperatorAction(
+                () -> log.write(LogStream.CONFIGURATION, publication("theirs", -1)));
+        log.enqueueFaults(List.of(FakeLog.Fault.OTHER_APPENDED_FIRST));
 
         assertThat(publish(publication("mine", -1)))
                 .isInstanceOf(ConfigurationEvent.Superseded.class);
@@ -102,7 +103,7 @@
     }
 
     @Test
-    void shouldWriteNothingWhenTheBaseIsSupersededAlready() {
+    void shouldWriteNothingWhenTheBaseVersionIsAlreadySuperseded() {
         publish(publication("first", -1));
 
         TamaracktrackException failure =
@@ -114,7 +115,7 @@
     }
 
     @Test
-    void shouldSayCertainlyNotWrittenWhenTheLogStaysOut() {
+    void shouldReportLogUnavailableWhenNothingWasWritten() {
         log.setReadable(false);
 
         TamaracktrackException failure =
@@ -124,9 +125,9 @@
     }
 
     @Test
-    void shouldSayUnknownWhenTheLogGoesOutAfterTheAppend() {
-        log.otherOperator(() -> log.setReadable(false));
-        log.fail(List.of(FakeLog.Fault.OTHER_COMES_FIRST));
+    void shouldReportOutcomeUnknownWhenTheLogFailsAfterTheAppend() {
+        log.setOtherOperatorAction(() -> log.setReadable(false));
+        log.enqueueFaults(List.of(FakeLog.Fault.OTHER_APPENDED_FIRST));
 
         TamaracktrackException failure =
                 assertThrows(TamaracktrackException.class, () -> publish(publication("mine", -1)));
@@ -134,14 +135,14 @@
         assertThat(failure.code()).isEqualTo(ErrorCode.LOG_OUTCOME_UNKNOWN);
     }
 
-    // Whatever happens to the appends, and whoever else publishes between them, the verdict that
-    // the operator is told is the one that every daemon comes to.
+    // For any sequence of append faults and concurrent publications of other operators, the
+    // reported outcome must be the outcome that every daemon derives from the log.
     @Property(seed = "80421", tries = 500)
-    void shouldTellWhatIsInForceWhateverFails(
+    void shouldReportTheOutcomeInForceWhicheverAppendsFail(
             @ForAll @Size(max = 8) List<FakeLog.Fault> faults, @ForAll boolean othersRace) {
-        FakeLog faulty = new FakeLog().fail(faults);
+        FakeLog faulty = new FakeLog().enqueueFaults(faults);
         AtomicInteger others = new AtomicInteger();
-        faulty.otherOperator(
+        faulty.setOtherOperatorAction(
                 () -> {
                     if (othersRace) {
                         String id = "theirs-" + others.getAndIncrement();
@@ -149,12 +150,12 @@
                     }
                 });
         boolean accepted =
-                Publisher.of(faulty, ConfigurationLog.of(faulty), patience(30))
+                Publisher.of(faulty, ConfigurationLog.of(faulty), attempts(30))
                                 .publish(publication("mine", -1))
                         instanceof ConfigurationEvent.Accepted;
 
         ConfigurationLog reader = ConfigurationLog.of(faulty);
-        reader.readToEnd(patience(0));
+        reader.readToEnd(attempts(0));
         boolean mineFirst =
                 faulty.records(LogStream.CONFIGURATION).get(0).entry()
                                 instanceof Publication publication
