--- a/cli/src/main/java/org/tamaracktrack/cli/Main.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/Main.java
@@ -20,13 +20,13 @@
     }
 
     private static ExitCode run(String[] arguments) {
-        try (Connections links = NetworkConnections.of()) {
+        try (Connections connections = NetworkConnections.of()) {
             Environment environment =
                     new Environment(
                             System.getenv(),
                             System.out,
                             System.err,
-                            links,
+                            connections,
                             () -> PublicationId.of(UUID.randomUUID().toString()));
             return CommandLine.of(environment).run(arguments);
         }
--- a/cli/src/main/java/org/tamaracktrack/cli/log/BackoffTimer.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/BackoffTimer.java
@@ -11,8 +11,8 @@
     private final long deadlineNanos;
     private long nextWaitMillis = FIRST_WAIT_MILLIS;
 
-    private BackoffTimer(long endNanos) {
-        this.deadlineNanos = endNanos;
+    private BackoffTimer(long deadlineNanos) {
+        this.deadlineNanos = deadlineNanos;
     }
 
     /**
@@ -27,11 +27,12 @@
 
     @Override
     public boolean awaitNextAttempt() {
-        long leftNanos = deadlineNanos - System.nanoTime();
-        if (leftNanos <= 0) {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        if (remainingNanos <= 0) {
             return false;
         }
-        LockSupport.parkNanos(Math.min(leftNanos, TimeUnit.MILLISECONDS.toNanos(nextWaitMillis)));
+        LockSupport.parkNanos(
+                Math.min(remainingNanos, TimeUnit.MILLISECONDS.toNanos(nextWaitMillis)));
         nextWaitMillis = Math.min(2 * nextWaitMillis, MAXIMUM_WAIT_MILLIS);
         return true;
     }
--- a/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/ConfigurationLog.java
@@ -28,7 +28,7 @@
                         LogStream.CONFIGURATION,
                         record -> events.addAll(register.handle(record)),
                         register::handleUnreadable,
-                        first -> events.addAll(register.handleGap(first)));
+                        firstOffset -> events.addAll(register.handleGap(firstOffset)));
     }
 
     /**
--- a/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
@@ -189,7 +189,7 @@
         if (report.recordsLost()) {
             lines.add(
                     "records expired before a report snapshot covered them; earlier counts are"
-                        + " lost");
+                            + " lost");
         }
         report.missing()
                 .forEach(
--- a/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
+++ b/cli/src/test/java/org/tamaracktrack/cli/log/PublisherTest.java
@@ -35,9 +35,9 @@
         }
     }
 
-    private static RetryTimer attempts(int tries) {
-        AtomicInteger left = new AtomicInteger(tries);
-        return () -> left.getAndDecrement() > 0;
+    private static RetryTimer attempts(int retries) {
+        AtomicInteger remaining = new AtomicInteger(retries);
+        return () -> remaining.getAndDecrement() > 0;
     }
 
     private static Publication publication(String id, long basedOn) {
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void shouldReportLogUnavailableWhenNothingWasWritten() {
+    void shouldReportLogUnavailableWhenTheLogCannotBeRead() {
         log.setReadable(false);
 
         TamaracktrackException failure =
--- a/standins/src/main/java/org/tamaracktrack/standins/Main.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/Main.java
@@ -16,7 +16,8 @@
 import org.tamaracktrack.standins.weights.WeightStoreFlags;
 
 /**
- * Runs one stand-in: {@code log}, {@code hosts}, {@code weights}, {@code engine}, {@code service}.
+ * Runs stand-ins of one kind: {@code log}, {@code hosts}, {@code weights}, {@code engine} or {@code
+ * service}.
  */
 public final class Main {
     private static final int EXIT_USAGE = 2;
@@ -31,7 +32,8 @@
     private Main() {}
 
     /**
-     * Starts the stand-in, prints {@code ready port=… control=…} and stays.
+     * Starts the stand-ins and prints their ports as {@code ready port=… control=…}. Returns while
+     * the servers keep the process running.
      *
      * @param arguments the kind and its flags
      */
@@ -41,8 +43,8 @@
         KINDS.forEach((kind, flags) -> commander.addCommand(kind, flags.get()));
         try {
             commander.parse(arguments);
-        } catch (ParameterException wrong) {
-            System.err.println(wrong.getMessage());
+        } catch (ParameterException failure) {
+            System.err.println(failure.getMessage());
             System.exit(EXIT_USAGE);
         }
         if (commander.getParsedCommand() == null) {
@@ -69,12 +71,12 @@
                         .toList();
         System.out.println(
                 "ready port="
-                        + joined(servers, StandInServer::port)
+                        + joinPorts(servers, StandInServer::port)
                         + " control="
-                        + joined(servers, StandInServer::controlPort));
+                        + joinPorts(servers, StandInServer::controlPort));
     }
 
-    private static String joined(
+    private static String joinPorts(
             List<StandInServer> servers, Function<StandInServer, Integer> port) {
         return servers.stream().map(port).map(Object::toString).collect(Collectors.joining(","));
     }
--- a/standins/src/main/java/org/tamaracktrack/standins/StandIn.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/StandIn.java
@@ -2,20 +2,25 @@
 
 import io.undertow.server.HttpHandler;
 
-/** The two interfaces of a stand-in. */
+/**
+ * A stand-in: an emulator of an outside system, with the HTTP interface of that system and a
+ * control interface for tests.
+ */
 public interface StandIn {
 
     /**
-     * Returns the interface of the system that it takes the place of. Called on worker threads.
+     * Returns the handler of the interface of the emulated system. The handler runs on worker
+     * threads.
      *
      * @return the handler
      */
-    HttpHandler service();
+    HttpHandler serviceHandler();
 
     /**
-     * Returns the interface by which tests make it misbehave. Called on worker threads.
+     * Returns the handler of the control interface, by which tests inject faults. The handler runs
+     * on worker threads.
      *
      * @return the handler
      */
-    HttpHandler control();
+    HttpHandler controlHandler();
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/StandInFlags.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/StandInFlags.java
@@ -2,22 +2,26 @@
 
 import com.beust.jcommander.Parameter;
 
-/** The flags that every stand-in has. */
+/** Holds the flags that all stand-ins share. */
 public abstract class StandInFlags {
-    @Parameter(names = "--port", description = "port of the service on 127.0.0.1; 0 for any")
+    @Parameter(
+            names = "--port",
+            description = "port of the emulated system on 127.0.0.1; 0 for any")
     private int port;
 
     @Parameter(names = "--control-port", description = "port of the control interface; 0 for any")
     private int controlPort;
 
-    @Parameter(names = "--count", description = "how many of the kind in one process; any ports")
+    @Parameter(
+            names = "--count",
+            description = "number of stand-ins in this process; above 1, both ports must be 0")
     private int count = 1;
 
-    @Parameter(names = "--parent", description = "id of a process whose end ends this one")
-    private long parent;
+    @Parameter(names = "--parent", description = "id of the process with which this one exits")
+    private long parentProcessId;
 
     /**
-     * Returns the port of the service.
+     * Returns the port of the emulated system.
      *
      * @return the port, or 0 for any
      */
@@ -35,21 +39,21 @@
     }
 
     /**
-     * Returns how many of the kind to run.
+     * Returns the number of stand-ins to run in this process.
      *
-     * @return how many
+     * @return the number
      */
     public int count() {
         return count;
     }
 
     /**
-     * Ends this process when its parent ends: a killed test run would otherwise leave its stand-ins
-     * behind, holding memory and ports.
+     * Exits this process when its parent process ends, if one was given. A killed test run would
+     * otherwise leave stand-ins running that hold memory and ports.
      */
     public void exitWithParent() {
-        if (parent > 0) {
-            ProcessHandle.of(parent)
+        if (parentProcessId > 0) {
+            ProcessHandle.of(parentProcessId)
                     .ifPresentOrElse(
                             process -> process.onExit().thenRun(() -> System.exit(1)),
                             () -> System.exit(1));
@@ -57,7 +61,7 @@
     }
 
     /**
-     * Makes the stand-in.
+     * Creates a stand-in.
      *
      * @return the stand-in
      */
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/MemoryBook.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/AcceleratorMemory.java
@@ -8,10 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * What is in the accelerators' memory. An order that puts in more than there is room for is carried
- * out and recorded, so that a test can see that it happened. Not safe for use by several threads.
+ * Tracks the models and adapters in the memory of the accelerators. Unless overcommitting orders
+ * are refused, an order that exceeds the memory is executed and counted, so that tests can detect
+ * it. Not safe for use by several threads.
  */
-public final class MemoryBook {
+public final class AcceleratorMemory {
     static final String LOADING = "loading";
     static final String READY = "ready";
     static final String UNLOADING = "unloading";
@@ -22,20 +23,20 @@
     private final Map<String, ResidentModel> models = new TreeMap<>();
     private int overcommits;
 
-    private MemoryBook(long cacheMebibytes, boolean refusesOvercommit) {
+    private AcceleratorMemory(long cacheMebibytes, boolean refusesOvercommit) {
         this.cacheMebibytes = cacheMebibytes;
         this.refusesOvercommit = refusesOvercommit;
     }
 
-    /** How an order began. */
-    public enum Begun {
-        /** Memory is taken, or is about to be freed. */
+    /** The result of beginning an order. */
+    public enum BeginResult {
+        /** Memory has been allocated, or is about to be freed. */
         STARTED,
-        /** There is nothing to do. */
+        /** The order has no effect, since its result already holds. */
         ALREADY_DONE,
-        /** What is in memory doesn't allow it. */
+        /** The models and adapters in memory don't permit the order. */
         IMPOSSIBLE,
-        /** There is no room. */
+        /** There is not enough free memory. */
         NO_MEMORY
     }
 
@@ -52,7 +53,7 @@
             this.mebibytes = mebibytes;
         }
 
-        private long total() {
+        private long totalMebibytes() {
             return mebibytes
                     + adapters.values().stream().mapToLong(adapter -> adapter.mebibytes).sum();
         }
@@ -70,23 +71,23 @@
     }
 
     /**
-     * Returns a book without accelerators.
+     * Returns an instance without accelerators.
      *
-     * @param cacheMebibytes the part of each that KV cache takes
-     * @param refusesOvercommit whether an order without room is refused
-     * @return the book
+     * @param cacheMebibytes the memory of each accelerator that the KV cache occupies
+     * @param refusesOvercommit whether orders that exceed the memory are refused
+     * @return the instance
      */
-    public static MemoryBook of(long cacheMebibytes, boolean refusesOvercommit) {
-        return new MemoryBook(cacheMebibytes, refusesOvercommit);
+    public static AcceleratorMemory of(long cacheMebibytes, boolean refusesOvercommit) {
+        return new AcceleratorMemory(cacheMebibytes, refusesOvercommit);
     }
 
     /**
      * Adds an accelerator.
      *
-     * @param name its name
-     * @param mebibytes its memory
+     * @param name the name of the accelerator
+     * @param mebibytes the size of its memory
      */
-    public void add(String name, long mebibytes) {
+    public void addAccelerator(String name, long mebibytes) {
         accelerators.put(name, mebibytes);
     }
 
@@ -94,60 +95,60 @@
      * Begins to load a model.
      *
      * @param order the order
-     * @return how it began
+     * @return the result
      */
-    public Begun beginLoadModel(EngineOrder order) {
+    public BeginResult beginLoadModel(EngineOrder order) {
         ResidentModel resident = models.get(order.model());
         if (resident != null) {
-            boolean same =
+            boolean alreadyLoaded =
                     resident.version.equals(order.version())
                             && resident.accelerator.equals(order.accelerator())
                             && !resident.state.equals(UNLOADING);
-            return same ? Begun.ALREADY_DONE : Begun.IMPOSSIBLE;
+            return alreadyLoaded ? BeginResult.ALREADY_DONE : BeginResult.IMPOSSIBLE;
         }
         if (!accelerators.containsKey(order.accelerator())) {
-            return Begun.IMPOSSIBLE;
+            return BeginResult.IMPOSSIBLE;
         }
         if (refusesOvercommit && !fits(order.accelerator(), order.mebibytes())) {
-            return Begun.NO_MEMORY;
+            return BeginResult.NO_MEMORY;
         }
         models.put(
                 order.model(),
                 new ResidentModel(order.version(), order.accelerator(), order.mebibytes()));
         recordOvercommit(order.accelerator());
-        return Begun.STARTED;
+        return BeginResult.STARTED;
     }
 
     /**
      * Begins to load an adapter.
      *
      * @param order the order
-     * @return how it began
+     * @return the result
      */
-    public Begun beginLoadAdapter(EngineOrder order) {
+    public BeginResult beginLoadAdapter(EngineOrder order) {
         ResidentModel base = models.get(order.model());
         if (base == null || base.state.equals(UNLOADING)) {
-            return Begun.IMPOSSIBLE;
+            return BeginResult.IMPOSSIBLE;
         }
         ResidentAdapter resident = base.adapters.get(order.adapter());
         if (resident != null) {
-            boolean same =
+            boolean alreadyLoaded =
                     resident.version.equals(order.version()) && !resident.state.equals(UNLOADING);
-            return same ? Begun.ALREADY_DONE : Begun.IMPOSSIBLE;
+            return alreadyLoaded ? BeginResult.ALREADY_DONE : BeginResult.IMPOSSIBLE;
         }
         if (refusesOvercommit && !fits(base.accelerator, order.mebibytes())) {
-            return Begun.NO_MEMORY;
+            return BeginResult.NO_MEMORY;
         }
         base.adapters.put(order.adapter(), new ResidentAdapter(order.version(), order.mebibytes()));
         recordOvercommit(base.accelerator);
-        return Begun.STARTED;
+        return BeginResult.STARTED;
     }
 
     /**
      * Ends the load of a model or adapter.
      *
      * @param order the order
-     * @param loaded whether the weights came; otherwise its memory is free again
+     * @param loaded whether the weights were loaded; if not, the memory is freed
      */
     public void endLoad(EngineOrder order, boolean loaded) {
         if (order.adapter() == null) {
@@ -183,40 +184,40 @@
     }
 
     /**
-     * Begins to unload a model with its adapters, or one adapter.
+     * Begins to unload a model with its adapters, or a single adapter.
      *
      * @param order the order
-     * @return how it began
+     * @return the result
      */
-    public Begun beginUnload(EngineOrder order) {
+    public BeginResult beginUnload(EngineOrder order) {
         ResidentModel resident = models.get(order.model());
         if (resident == null) {
-            return Begun.ALREADY_DONE;
+            return BeginResult.ALREADY_DONE;
         }
         if (order.adapter() == null) {
             return beginUnload(resident);
         }
         ResidentAdapter adapter = resident.adapters.get(order.adapter());
         if (adapter == null) {
-            return Begun.ALREADY_DONE;
+            return BeginResult.ALREADY_DONE;
         }
         if (!adapter.state.equals(READY)) {
-            return Begun.IMPOSSIBLE;
+            return BeginResult.IMPOSSIBLE;
         }
         adapter.state = UNLOADING;
-        return Begun.STARTED;
+        return BeginResult.STARTED;
     }
 
-    private static Begun beginUnload(ResidentModel resident) {
+    private static BeginResult beginUnload(ResidentModel resident) {
         if (!resident.state.equals(READY)) {
-            return Begun.IMPOSSIBLE;
+            return BeginResult.IMPOSSIBLE;
         }
         resident.state = UNLOADING;
-        return Begun.STARTED;
+        return BeginResult.STARTED;
     }
 
     /**
-     * Ends an unload: the memory is free.
+     * Ends an unload, and frees the memory.
      *
      * @param order the order
      */
@@ -230,55 +231,56 @@
     }
 
     /**
-     * Returns whether a model can run.
+     * Returns whether a model is ready to serve requests.
      *
      * @param model the model
      * @return whether it is ready
      */
-    public boolean ready(String model) {
+    public boolean isReady(String model) {
         return Optional.ofNullable(models.get(model))
                 .filter(resident -> resident.state.equals(READY))
                 .isPresent();
     }
 
     /**
-     * Returns whether an adapter can run.
+     * Returns whether an adapter is ready to serve requests.
      *
-     * @param model its base model
+     * @param model the base model
      * @param adapter the adapter
-     * @return whether both are ready
+     * @return whether both the model and the adapter are ready
      */
-    public boolean ready(String model, String adapter) {
-        return ready(model)
+    public boolean isReady(String model, String adapter) {
+        return isReady(model)
                 && Optional.ofNullable(models.get(model).adapters.get(adapter))
                         .filter(resident -> resident.state.equals(READY))
                         .isPresent();
     }
 
     /**
-     * Returns how often there was more in an accelerator than room for it.
+     * Returns the number of orders that overcommitted the memory of an accelerator.
      *
-     * @return how many orders overcommitted memory
+     * @return the number
      */
     public int overcommits() {
         return overcommits;
     }
 
     /**
-     * Returns the accelerators.
+     * Returns the state of the accelerators.
      *
-     * @return the accelerators and the memory that weights take
+     * @return the accelerators and the memory that weights occupy
      */
     public List<Inventory.AcceleratorState> accelerators() {
         List<Inventory.AcceleratorState> states = new ArrayList<>();
         accelerators.forEach(
                 (name, memory) ->
-                        states.add(new Inventory.AcceleratorState(name, memory, used(name))));
+                        states.add(
+                                new Inventory.AcceleratorState(name, memory, usedMebibytes(name))));
         return states;
     }
 
     /**
-     * Returns the models.
+     * Returns the models in memory.
      *
      * @return the models and their adapters
      */
@@ -303,15 +305,16 @@
                 name, model.version, model.accelerator, model.mebibytes, model.state, adapters);
     }
 
-    private long used(String accelerator) {
+    private long usedMebibytes(String accelerator) {
         return models.values().stream()
                 .filter(model -> model.accelerator.equals(accelerator))
-                .mapToLong(ResidentModel::total)
+                .mapToLong(ResidentModel::totalMebibytes)
                 .sum();
     }
 
     private boolean fits(String accelerator, long mebibytes) {
-        return used(accelerator) + cacheMebibytes + mebibytes <= accelerators.get(accelerator);
+        return usedMebibytes(accelerator) + cacheMebibytes + mebibytes
+                <= accelerators.get(accelerator);
     }
 
     private void recordOvercommit(String accelerator) {
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/AnswerText.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/AnswerText.java
@@ -1,27 +1,27 @@
 package org.tamaracktrack.standins.engine;
 
-/** The text of answers, which follows from the prompt alone. */
+/** Generates the text of answers. It depends only on the prompt, so that callers can verify it. */
 public final class AnswerText {
     static final int CHARACTERS_PER_TOKEN = 4;
 
     private AnswerText() {}
 
     /**
-     * Returns how many tokens a text has.
+     * Returns the number of tokens of a text.
      *
      * @param text the text
-     * @return how many, at least 1
+     * @return the number, at least 1
      */
-    public static int tokens(String text) {
+    public static int tokenCount(String text) {
         return Math.max(1, text.length() / CHARACTERS_PER_TOKEN);
     }
 
     /**
      * Returns one token of the answer to a prompt.
      *
-     * @param promptHash the SHA-256 of the prompt in hex
-     * @param index the token's index
-     * @return the token's text
+     * @param promptHash the SHA-256 hash of the prompt in hexadecimal
+     * @param index the index of the token in the answer
+     * @return the text of the token
      */
     public static String token(String promptHash, int index) {
         int from = index % (promptHash.length() - CHARACTERS_PER_TOKEN);
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/BatchCosts.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/BatchCosts.java
@@ -1,21 +1,21 @@
 package org.tamaracktrack.standins.engine;
 
 /**
- * What a batch costs.
+ * Computes the duration of the steps of a batch.
  *
- * @param tokenMicros time for one token of a batch of one
- * @param batchPenalty the part of that time which each further request of the batch adds
- * @param promptTokenMicros time to read one prompt token
+ * @param tokenMicros the time per token in a batch of one request, in microseconds
+ * @param batchPenalty the share of that time that each further request of the batch adds
+ * @param promptTokenMicros the time to process one prompt token, in microseconds
  */
 public record BatchCosts(double tokenMicros, double batchPenalty, double promptTokenMicros) {
     private static final double MICROS_PER_MILLI = 1000.0;
 
     /**
-     * Returns costs.
+     * Returns the costs of a batch.
      *
-     * @param tokenMillis time for one token of a batch of one
-     * @param batchPenalty the part of that time which each further request of the batch adds
-     * @param promptTokenMicros time to read one prompt token
+     * @param tokenMillis the time per token in a batch of one request, in milliseconds
+     * @param batchPenalty the share of that time that each further request of the batch adds
+     * @param promptTokenMicros the time to process one prompt token, in microseconds
      * @return the costs
      */
     public static BatchCosts of(double tokenMillis, double batchPenalty, double promptTokenMicros) {
@@ -23,11 +23,11 @@
     }
 
     /**
-     * Returns how long one step takes.
+     * Returns the duration of one step.
      *
-     * @param batch how many requests get a token
-     * @param promptTokens how many prompt tokens are read first
-     * @return the time in microseconds
+     * @param batch the number of requests in the batch
+     * @param promptTokens the number of prompt tokens to process in the step
+     * @return the duration in microseconds
      */
     public long stepMicros(int batch, long promptTokens) {
         double tokens = tokenMicros * (1 + batchPenalty * Math.max(0, batch - 1));
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/BatchScheduler.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/BatchScheduler.java
@@ -9,18 +9,19 @@
 import java.util.TreeSet;
 
 /**
- * Continuous batching: at each step, waiting requests join the batch while there is room, and every
- * request of the batch gets one token. Not safe for use by several threads.
+ * Schedules requests by continuous batching. At each step, queued requests join the batch while its
+ * size is below the limit, and one token is generated for every request of the batch. Not safe for
+ * use by several threads.
  */
 public final class BatchScheduler {
-    private static final Comparator<Job> ORDER =
+    private static final Comparator<Job> BY_PRIORITY =
             Comparator.comparingInt(Job::priority).reversed().thenComparingLong(Job::number);
 
     private final BatchCosts costs;
     private final int concurrency;
     private final int queueLimit;
-    private final TreeSet<Job> waiting = new TreeSet<>(ORDER);
-    private final Map<Long, Running> batch = new LinkedHashMap<>();
+    private final TreeSet<Job> waiting = new TreeSet<>(BY_PRIORITY);
+    private final Map<Long, RunningJob> batch = new LinkedHashMap<>();
 
     private BatchScheduler(BatchCosts costs, int concurrency, int queueLimit) {
         this.costs = costs;
@@ -28,21 +29,21 @@
         this.queueLimit = queueLimit;
     }
 
-    private static final class Running {
+    private static final class RunningJob {
         private final Job job;
-        private int next;
+        private int nextToken;
 
-        private Running(Job job) {
+        private RunningJob(Job job) {
             this.job = job;
-            this.next = job.firstToken();
+            this.nextToken = job.firstToken();
         }
     }
 
     /**
-     * A step under way.
+     * A step in progress.
      *
-     * @param micros how long it takes
-     * @param joined the requests that joined the batch with it
+     * @param micros the duration in microseconds
+     * @param joined the requests that joined the batch in this step
      */
     public record Step(long micros, List<Job> joined) {
 
@@ -53,20 +54,20 @@
     }
 
     /**
-     * A token that a step gave.
+     * A generated token.
      *
-     * @param job whose it is
-     * @param index the token's index in the answer
-     * @param last whether the answer is whole with it
+     * @param jobNumber the number of its request
+     * @param index the index of the token in the answer
+     * @param last whether it is the last token of the answer
      */
-    public record Token(long job, int index, boolean last) {}
+    public record Token(long jobNumber, int index, boolean last) {}
 
     /**
      * Returns a scheduler without requests.
      *
-     * @param costs what a batch costs
-     * @param concurrency how many requests are in a batch at the most
-     * @param queueLimit how many may wait
+     * @param costs the costs of a batch
+     * @param concurrency the maximum number of requests in the batch
+     * @param queueLimit the maximum number of queued requests
      * @return the scheduler
      */
     public static BatchScheduler of(BatchCosts costs, int concurrency, int queueLimit) {
@@ -74,19 +75,19 @@
     }
 
     /**
-     * Takes a request.
+     * Adds a request to the queue.
      *
      * @param job the request
-     * @return false when too many wait
+     * @return false if the queue is full
      */
     public boolean submit(Job job) {
         return waiting.size() < queueLimit && waiting.add(job);
     }
 
     /**
-     * Drops a request, whether it waits or runs.
+     * Removes a request from the queue or the batch.
      *
-     * @param number its number
+     * @param number the number of the request
      */
     public void cancel(long number) {
         waiting.removeIf(job -> job.number() == number);
@@ -96,13 +97,13 @@
     /**
      * Begins a step.
      *
-     * @return the step; empty when there is nothing to do
+     * @return the step; empty if there are no requests
      */
     public Optional<Step> beginStep() {
         List<Job> joined = new ArrayList<>();
         while (batch.size() < concurrency && !waiting.isEmpty()) {
             Job job = waiting.pollFirst();
-            batch.put(job.number(), new Running(job));
+            batch.put(job.number(), new RunningJob(job));
             joined.add(job);
         }
         if (batch.isEmpty()) {
@@ -115,33 +116,33 @@
     /**
      * Ends a step.
      *
-     * @return the tokens that it gave
+     * @return the tokens that the step generated
      */
     public List<Token> endStep() {
         List<Token> tokens = batch.values().stream().map(BatchScheduler::advance).toList();
-        tokens.stream().filter(Token::last).forEach(token -> batch.remove(token.job()));
+        tokens.stream().filter(Token::last).forEach(token -> batch.remove(token.jobNumber()));
         return tokens;
     }
 
-    private static Token advance(Running running) {
-        int index = running.next;
-        running.next++;
-        return new Token(running.job.number(), index, running.next >= running.job.endToken());
+    private static Token advance(RunningJob running) {
+        int index = running.nextToken;
+        running.nextToken++;
+        return new Token(running.job.number(), index, running.nextToken >= running.job.endToken());
     }
 
     /**
-     * Returns how many requests are in the batch.
+     * Returns the number of requests in the batch.
      *
-     * @return how many run
+     * @return the number
      */
     public int running() {
         return batch.size();
     }
 
     /**
-     * Returns how many requests wait.
+     * Returns the number of queued requests.
      *
-     * @return how many wait
+     * @return the number
      */
     public int queued() {
         return waiting.size();
@@ -151,9 +152,9 @@
      * Returns whether a model is in use.
      *
      * @param model the model
-     * @return whether a request for it waits or runs
+     * @return whether a request for the model is queued or in the batch
      */
-    public boolean uses(String model) {
+    public boolean isInUse(String model) {
         return waiting.stream().anyMatch(job -> job.model().equals(model))
                 || batch.values().stream().anyMatch(running -> running.job.model().equals(model));
     }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionCall.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionCall.java
@@ -3,22 +3,22 @@
 import io.undertow.server.HttpServerExchange;
 import java.io.IOException;
 import java.util.Optional;
-import org.tamaracktrack.standins.http.Answers;
-import org.tamaracktrack.standins.http.BadCallException;
+import org.tamaracktrack.standins.http.HttpErrorException;
+import org.tamaracktrack.standins.http.HttpExchanges;
 import org.tamaracktrack.standins.http.Sha256;
 
 /**
- * A request as read from the wire.
+ * A completion request, as read from its headers and body.
  *
- * @param requestId its identifier
+ * @param requestId the identifier of the request
  * @param model the model
- * @param adapter the adapter
- * @param priority its class's weight
+ * @param adapter the adapter; empty for the base model
+ * @param priority the weight of the request class
  * @param prompt the prompt
- * @param promptHash the prompt's SHA-256 in hex
- * @param stream whether to answer as a stream
- * @param firstToken the first token wanted
- * @param tokens how many tokens the answer has
+ * @param promptHash the SHA-256 hash of the prompt in hexadecimal
+ * @param stream whether to respond with a stream
+ * @param firstToken the index of the first requested token
+ * @param tokens the number of tokens of the complete answer
  */
 record CompletionCall(
         String requestId,
@@ -32,15 +32,15 @@
         int tokens) {
 
     static CompletionCall read(HttpServerExchange exchange) throws IOException {
-        CompletionRequest body = Answers.body(exchange, CompletionRequest.class);
+        CompletionRequest body = HttpExchanges.readBody(exchange, CompletionRequest.class);
         String model =
-                Answers.header(exchange, "X-Model")
-                        .orElseThrow(() -> BadCallException.of(400, "no_model"));
+                HttpExchanges.header(exchange, "X-Model")
+                        .orElseThrow(() -> HttpErrorException.of(400, "no_model"));
         String prompt = body.promptText();
         return new CompletionCall(
-                Answers.header(exchange, "X-Request-Id").orElse(""),
+                HttpExchanges.header(exchange, "X-Request-Id").orElse(""),
                 model,
-                Answers.header(exchange, "X-Adapter").filter(adapter -> !adapter.isEmpty()),
+                HttpExchanges.header(exchange, "X-Adapter").filter(adapter -> !adapter.isEmpty()),
                 number(exchange, "X-Priority"),
                 prompt,
                 Sha256.hex(prompt),
@@ -51,13 +51,13 @@
 
     private static int number(HttpServerExchange exchange, String header) {
         try {
-            return Answers.header(exchange, header).map(Integer::parseInt).orElse(0);
-        } catch (NumberFormatException wrong) {
-            throw BadCallException.of(400, "bad_number");
+            return HttpExchanges.header(exchange, header).map(Integer::parseInt).orElse(0);
+        } catch (NumberFormatException failure) {
+            throw HttpErrorException.of(400, "bad_number");
         }
     }
 
     int promptTokens() {
-        return AnswerText.tokens(prompt);
+        return AnswerText.tokenCount(prompt);
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionHandler.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionHandler.java
@@ -6,54 +6,54 @@
 import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import org.tamaracktrack.standins.http.AnswerCutter;
-import org.tamaracktrack.standins.http.Answers;
-import org.tamaracktrack.standins.http.BadCallException;
-import org.tamaracktrack.standins.http.CallerWatch;
+import org.tamaracktrack.standins.http.DisconnectMonitor;
 import org.tamaracktrack.standins.http.Gate;
+import org.tamaracktrack.standins.http.HttpErrorException;
+import org.tamaracktrack.standins.http.HttpExchanges;
+import org.tamaracktrack.standins.http.ResponseTruncator;
 import org.tamaracktrack.standins.service.RunCounter;
 
-/** Answers completion requests. */
+/** Handles completion requests. */
 final class CompletionHandler implements HttpHandler {
-    private static final BatchScheduler.Token GONE = new BatchScheduler.Token(-1, -1, true);
+    private static final BatchScheduler.Token DISCONNECTED = new BatchScheduler.Token(-1, -1, true);
 
-    private final MemoryBook memory;
-    private final Batcher batcher;
-    private final PrefixCache prefixes;
-    private final RunCounter runs;
-    private final RunCounter byPrompt;
+    private final AcceleratorMemory memory;
+    private final BatchRunner batchRunner;
+    private final PrefixCache prefixCache;
+    private final RunCounter runsByRequest;
+    private final RunCounter runsByPrompt;
     private final Gate gate;
-    private final AnswerCutter cutter;
+    private final ResponseTruncator truncator;
 
     CompletionHandler(
-            MemoryBook memory,
-            Batcher batcher,
-            PrefixCache prefixes,
-            RunCounter runs,
-            RunCounter byPrompt,
+            AcceleratorMemory memory,
+            BatchRunner batchRunner,
+            PrefixCache prefixCache,
+            RunCounter runsByRequest,
+            RunCounter runsByPrompt,
             Gate gate,
-            AnswerCutter cutter) {
+            ResponseTruncator truncator) {
         this.memory = memory;
-        this.batcher = batcher;
-        this.prefixes = prefixes;
-        this.runs = runs;
-        this.byPrompt = byPrompt;
+        this.batchRunner = batchRunner;
+        this.prefixCache = prefixCache;
+        this.runsByRequest = runsByRequest;
+        this.runsByPrompt = runsByPrompt;
         this.gate = gate;
-        this.cutter = cutter;
+        this.truncator = truncator;
     }
 
-    private final class Tokens implements Batcher.Sink {
+    private final class TokenQueue implements BatchRunner.Listener {
         private final CompletionCall call;
         private final BlockingQueue<BatchScheduler.Token> queue = new LinkedBlockingQueue<>();
 
-        private Tokens(CompletionCall call) {
+        private TokenQueue(CompletionCall call) {
             this.call = call;
         }
 
         @Override
         public void onStarted() {
-            runs.count(call.requestId());
-            byPrompt.count(call.promptHash());
+            runsByRequest.increment(call.requestId());
+            runsByPrompt.increment(call.promptHash());
         }
 
         @Override
@@ -65,68 +65,72 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) throws Exception {
         CompletionCall call = CompletionCall.read(exchange);
-        gate.pass();
-        Tokens tokens = new Tokens(call);
+        gate.awaitOpen();
+        TokenQueue tokens = new TokenQueue(call);
         long number = submit(call, tokens);
-        CallerWatch watch = CallerWatch.start(exchange, () -> tokens.queue.add(GONE));
+        DisconnectMonitor monitor =
+                DisconnectMonitor.start(exchange, () -> tokens.queue.add(DISCONNECTED));
         try {
-            write(exchange, call, tokens, watch);
+            write(exchange, call, tokens, monitor);
         } finally {
-            batcher.cancel(number);
+            batchRunner.cancel(number);
         }
     }
 
-    private long submit(CompletionCall call, Tokens tokens) {
+    private long submit(CompletionCall call, TokenQueue tokens) {
         int promptTokens;
-        synchronized (prefixes) {
-            promptTokens = prefixes.read(call.model(), call.prompt());
+        synchronized (prefixCache) {
+            promptTokens = prefixCache.promptCostTokens(call.model(), call.prompt());
         }
-        JobShape shape =
-                new JobShape(
+        JobRequest request =
+                new JobRequest(
                         call.model(),
                         call.priority(),
                         promptTokens + call.firstToken(),
                         call.firstToken(),
                         call.tokens());
-        Optional<Long> number = batcher.submit(shape, () -> ready(call), tokens);
+        Optional<Long> number = batchRunner.submit(request, () -> isReady(call), tokens);
         if (number.isEmpty()) {
-            throw BadCallException.of(404, missing(call));
+            throw HttpErrorException.of(404, notLoadedCode(call));
         }
         if (number.get() < 0) {
-            throw BadCallException.of(503, "busy");
+            throw HttpErrorException.of(503, "busy");
         }
         return number.get();
     }
 
-    private boolean ready(CompletionCall call) {
+    private boolean isReady(CompletionCall call) {
         synchronized (memory) {
             return call.adapter()
-                    .map(adapter -> memory.ready(call.model(), adapter))
-                    .orElseGet(() -> memory.ready(call.model()));
+                    .map(adapter -> memory.isReady(call.model(), adapter))
+                    .orElseGet(() -> memory.isReady(call.model()));
         }
     }
 
-    private String missing(CompletionCall call) {
+    private String notLoadedCode(CompletionCall call) {
         synchronized (memory) {
-            return memory.ready(call.model()) ? "adapter_not_loaded" : "model_not_loaded";
+            return memory.isReady(call.model()) ? "adapter_not_loaded" : "model_not_loaded";
         }
     }
 
     private void write(
-            HttpServerExchange exchange, CompletionCall call, Tokens tokens, CallerWatch watch)
+            HttpServerExchange exchange,
+            CompletionCall call,
+            TokenQueue tokens,
+            DisconnectMonitor monitor)
             throws IOException, InterruptedException {
-        CompletionWriter writer = CompletionWriter.begin(call, exchange, cutter);
+        CompletionWriter writer = CompletionWriter.begin(call, exchange, truncator);
         BatchScheduler.Token token;
         do {
             token = tokens.queue.take();
-            if (token.equals(GONE)) {
-                Answers.drop(exchange);
+            if (token.equals(DISCONNECTED)) {
+                HttpExchanges.closeConnection(exchange);
                 return;
             }
-            gate.pass();
-            writer.token(token.index(), token.last());
+            gate.awaitOpen();
+            writer.writeToken(token.index(), token.last());
         } while (!token.last());
-        watch.stop();
-        writer.end();
+        monitor.stop();
+        writer.finish();
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionRequest.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionRequest.java
@@ -6,15 +6,15 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import org.tamaracktrack.standins.http.BadCallException;
+import org.tamaracktrack.standins.http.HttpErrorException;
 
 /**
- * The body of a request, as far as the stand-in reads it.
+ * The fields of the body of a completion request that the stand-in reads.
  *
- * @param prompt the prompt, of a text completion
- * @param messages the messages, of a chat completion
- * @param stream whether to answer as a stream
- * @param maxTokens how many tokens to generate
+ * @param prompt the prompt of a text completion, or null
+ * @param messages the messages of a chat completion, or null
+ * @param stream whether to respond with a stream
+ * @param maxTokens the number of tokens to generate, or null for the default
  */
 record CompletionRequest(
         String prompt,
@@ -26,9 +26,9 @@
     private static final int MAXIMUM_TOKENS = 100_000;
 
     /**
-     * One message.
+     * A message of a chat.
      *
-     * @param content its text
+     * @param content the content, of which only text is read
      */
     record ChatMessage(JsonNode content) {
 
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Returns the text whose hash the answer carries.
+     * Returns the prompt: its hash determines the text of the answer.
      *
      * @return the prompt
      */
@@ -47,7 +47,7 @@
             return prompt;
         }
         if (messages == null) {
-            throw BadCallException.of(400, "no_prompt");
+            throw HttpErrorException.of(400, "no_prompt");
         }
         return messages.stream()
                 .filter(Objects::nonNull)
@@ -56,7 +56,7 @@
     }
 
     int tokens() {
-        int wanted = maxTokens == null ? DEFAULT_TOKENS : maxTokens;
-        return Math.max(1, Math.min(MAXIMUM_TOKENS, wanted));
+        int requested = maxTokens == null ? DEFAULT_TOKENS : maxTokens;
+        return Math.max(1, Math.min(MAXIMUM_TOKENS, requested));
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionWriter.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/CompletionWriter.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import org.tamaracktrack.link.codec.Codecs;
-import org.tamaracktrack.standins.http.AnswerCutter;
+import org.tamaracktrack.standins.http.ResponseTruncator;
 
-/** Writes one answer, whole or as a stream. */
+/** Writes the response to one completion request, as one JSON document or as an event stream. */
 final class CompletionWriter {
     private static final String CHAT = "/v1/chat/completions";
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
@@ -21,21 +21,21 @@
     private final CompletionCall call;
     private final boolean chat;
     private final HttpServerExchange exchange;
-    private final AnswerCutter cutter;
+    private final ResponseTruncator truncator;
     private final StringBuilder text = new StringBuilder();
     private OutputStream output;
 
     private CompletionWriter(
-            CompletionCall call, HttpServerExchange exchange, AnswerCutter cutter) {
+            CompletionCall call, HttpServerExchange exchange, ResponseTruncator truncator) {
         this.call = call;
         this.chat = exchange.getRequestPath().equals(CHAT);
         this.exchange = exchange;
-        this.cutter = cutter;
+        this.truncator = truncator;
     }
 
     static CompletionWriter begin(
-            CompletionCall call, HttpServerExchange exchange, AnswerCutter cutter) {
-        CompletionWriter writer = new CompletionWriter(call, exchange, cutter);
+            CompletionCall call, HttpServerExchange exchange, ResponseTruncator truncator) {
+        CompletionWriter writer = new CompletionWriter(call, exchange, truncator);
         writer.begin();
         return writer;
     }
@@ -46,11 +46,11 @@
                         Headers.CONTENT_TYPE,
                         call.stream() ? "text/event-stream" : "application/json");
         if (call.stream()) {
-            output = cutter.output(exchange);
+            output = truncator.output(exchange);
         }
     }
 
-    void token(int index, boolean last) throws IOException {
+    void writeToken(int index, boolean last) throws IOException {
         String token = AnswerText.token(call.promptHash(), index);
         if (!call.stream()) {
             text.append(token);
@@ -62,13 +62,13 @@
         output.flush();
     }
 
-    void end() throws IOException {
+    void finish() throws IOException {
         if (call.stream()) {
             output.write(DONE);
         } else {
-            byte[] bytes = Codecs.encode(Codecs.json(), whole());
+            byte[] bytes = Codecs.encode(Codecs.json(), completion());
             exchange.setResponseContentLength(bytes.length);
-            output = cutter.output(exchange);
+            output = truncator.output(exchange);
             output.write(bytes);
         }
         output.close();
@@ -76,16 +76,17 @@
 
     private Map<String, Object> event(String token, boolean last) {
         Map<String, Object> event =
-                answer(chat ? "chat.completion.chunk" : "text_completion", choice(token, last));
+                responseBody(
+                        chat ? "chat.completion.chunk" : "text_completion", choice(token, last));
         if (last) {
             event.put("usage", usage());
         }
         return event;
     }
 
-    private Map<String, Object> whole() {
-        Map<String, Object> answer =
-                answer(
+    private Map<String, Object> completion() {
+        Map<String, Object> body =
+                responseBody(
                         chat ? "chat.completion" : "text_completion",
                         chat
                                 ? choice(
@@ -93,8 +94,8 @@
                                         Map.of("role", "assistant", "content", text.toString()),
                                         true)
                                 : choice("text", text.toString(), true));
-        answer.put("usage", usage());
-        return answer;
+        body.put("usage", usage());
+        return body;
     }
 
     private Map<String, Object> choice(String token, boolean last) {
@@ -109,15 +110,15 @@
         return choice;
     }
 
-    private Map<String, Object> answer(String object, Map<String, Object> choice) {
-        Map<String, Object> answer = new LinkedHashMap<>();
-        answer.put("id", call.requestId());
-        answer.put("object", object);
-        answer.put("model", call.model());
-        answer.put("adapter", call.adapter().orElse(null));
-        answer.put("prompt_sha256", call.promptHash());
-        answer.put("choices", List.of(choice));
-        return answer;
+    private Map<String, Object> responseBody(String object, Map<String, Object> choice) {
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("id", call.requestId());
+        body.put("object", object);
+        body.put("model", call.model());
+        body.put("adapter", call.adapter().orElse(null));
+        body.put("prompt_sha256", call.promptHash());
+        body.put("choices", List.of(choice));
+        return body;
     }
 
     private Map<String, Integer> usage() {
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/EngineFlags.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/EngineFlags.java
@@ -6,53 +6,59 @@
 import org.tamaracktrack.standins.StandIn;
 import org.tamaracktrack.standins.StandInFlags;
 
-/** The flags of the model engine's stand-in. */
+/** Holds the flags of the model engine stand-in. */
 public final class EngineFlags extends StandInFlags {
     @Parameter(
             names = "--accelerator",
-            description = "an accelerator as name=mebibytes; may be repeated")
+            description = "an accelerator as name=mebibytes; repeatable")
     private List<String> accelerators = List.of("a0=24000");
 
-    @Parameter(names = "--cache-mebibytes", description = "KV cache of each accelerator")
+    @Parameter(
+            names = "--cache-mebibytes",
+            description = "size of the KV cache of each accelerator")
     private long cacheMebibytes;
 
-    @Parameter(names = "--concurrency", description = "requests in one batch")
+    @Parameter(names = "--concurrency", description = "maximum requests in the batch")
     private int concurrency = 8;
 
-    @Parameter(names = "--queue-limit", description = "requests that may wait")
+    @Parameter(names = "--queue-limit", description = "maximum queued requests")
     private int queueLimit = 64;
 
-    @Parameter(names = "--token-millis", description = "time for one token of a batch of one")
+    @Parameter(names = "--token-millis", description = "time per token in a batch of one request")
     private double tokenMillis = 5;
 
-    @Parameter(names = "--batch-penalty", description = "added time for each further request")
+    @Parameter(
+            names = "--batch-penalty",
+            description = "share of the token time that each further request adds")
     private double batchPenalty = 0.05;
 
-    @Parameter(names = "--prompt-token-micros", description = "time to read one prompt token")
+    @Parameter(names = "--prompt-token-micros", description = "time to process one prompt token")
     private double promptTokenMicros = 100;
 
-    @Parameter(names = "--prefix-cache", description = "prompt prefixes that are remembered")
-    private int prefixCache = 64;
+    @Parameter(names = "--prefix-cache", description = "capacity of the prefix cache in prefixes")
+    private int prefixCacheCapacity = 64;
 
-    @Parameter(names = "--time-factor", description = "how many times faster than the flags say")
+    @Parameter(names = "--time-factor", description = "divisor of the times of the other flags")
     private double timeFactor = 1;
 
     @Parameter(names = "--weights", description = "address of the weight store")
-    private String weights;
+    private String weightStoreAddress;
 
-    @Parameter(names = "--load-millis", description = "time of a load without a weight store")
+    @Parameter(names = "--load-millis", description = "duration of a load without a weight store")
     private long loadMillis = 300;
 
-    @Parameter(names = "--unload-millis", description = "time of an unload")
+    @Parameter(names = "--unload-millis", description = "duration of an unload")
     private long unloadMillis = 20;
 
-    @Parameter(names = "--load-lag-millis", description = "how old the published load figures are")
+    @Parameter(names = "--load-lag-millis", description = "age of the published load figures")
     private long loadLagMillis = 500;
 
-    @Parameter(names = "--checks-fencing", description = "refuse orders with an old number")
+    @Parameter(names = "--checks-fencing", description = "refuse orders with an old fencing number")
     private boolean checksFencing;
 
-    @Parameter(names = "--refuses-overcommit", description = "refuse orders without memory")
+    @Parameter(
+            names = "--refuses-overcommit",
+            description = "refuse loads that don't fit into memory")
     private boolean refusesOvercommit;
 
     @Override
@@ -60,23 +66,23 @@
         BatchCosts costs =
                 BatchCosts.of(
                         tokenMillis / timeFactor, batchPenalty, promptTokenMicros / timeFactor);
-        MemoryBook memory = MemoryBook.of(cacheMebibytes, refusesOvercommit);
+        AcceleratorMemory memory = AcceleratorMemory.of(cacheMebibytes, refusesOvercommit);
         accelerators.stream()
                 .map(accelerator -> accelerator.split("=", 2))
-                .forEach(parts -> memory.add(parts[0], Long.parseLong(parts[1])));
+                .forEach(parts -> memory.addAccelerator(parts[0], Long.parseLong(parts[1])));
         return EngineStandIn.of(
                 memory,
-                OrderBook.of(checksFencing),
+                OrderTracker.of(checksFencing),
                 BatchScheduler.of(costs, concurrency, queueLimit),
-                PrefixCache.of(prefixCache),
+                PrefixCache.of(prefixCacheCapacity),
                 weightSource(),
                 Math.round(unloadMillis / timeFactor),
                 loadLagMillis);
     }
 
     private WeightSource weightSource() {
-        return weights == null
-                ? FixedTimeWeights.of(Math.round(loadMillis / timeFactor))
-                : HttpWeights.of(URI.create("http://" + weights));
+        return weightStoreAddress == null
+                ? FixedDelayWeightSource.of(Math.round(loadMillis / timeFactor))
+                : HttpWeightSource.of(URI.create("http://" + weightStoreAddress));
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/EngineOrder.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/EngineOrder.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * An order.
+ * An order to the engine.
  *
- * @param orderId its identifier
- * @param fencing the fencing number of whoever gives it
- * @param kind what to do
- * @param accelerator where
+ * @param orderId the identifier of the order
+ * @param fencing the fencing number of the sender
+ * @param kind the kind of order
+ * @param accelerator the accelerator to load to, or null
  * @param model the model
  * @param adapter the adapter, or null
- * @param version the version
- * @param mebibytes the memory it takes
- * @param issuedAtMillis when it was given
- * @param lifetimeMillis how long after that it may be carried out
+ * @param version the version of the model or adapter, or null
+ * @param mebibytes the size of the weights
+ * @param issuedAtMillis the time at which it was issued, in milliseconds since the epoch
+ * @param lifetimeMillis the time after that during which it may be executed, in milliseconds
  * @param role the new role, or null
  */
 public record EngineOrder(
@@ -30,7 +30,7 @@
         long lifetimeMillis,
         String role) {
 
-    /** What an order asks for. */
+    /** The kinds of orders. */
     public enum Kind {
         @JsonProperty("load_model")
         LOAD_MODEL,
@@ -44,7 +44,7 @@
         SET_ROLE
     }
 
-    boolean complete() {
+    boolean hasRequiredFields() {
         return orderId != null
                 && kind != null
                 && (kind != Kind.SET_ROLE || role != null)
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/EngineStandIn.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/EngineStandIn.java
@@ -6,132 +6,136 @@
 import java.io.IOException;
 import java.util.Map;
 import org.tamaracktrack.standins.StandIn;
-import org.tamaracktrack.standins.http.AnswerCutter;
-import org.tamaracktrack.standins.http.Answers;
 import org.tamaracktrack.standins.http.Control;
 import org.tamaracktrack.standins.http.Gate;
+import org.tamaracktrack.standins.http.HttpExchanges;
+import org.tamaracktrack.standins.http.ResponseTruncator;
 import org.tamaracktrack.standins.service.RunCounter;
 
-/** A model engine. */
+/** Emulates a model engine. */
 public final class EngineStandIn implements StandIn {
-    private final MemoryBook memory;
-    private final OrderBook orderBook;
-    private final Batcher batcher;
+    private final AcceleratorMemory memory;
+    private final OrderTracker orderTracker;
+    private final BatchRunner batchRunner;
     private final Gate gate;
-    private final AnswerCutter cutter = new AnswerCutter();
+    private final ResponseTruncator truncator = new ResponseTruncator();
     private final RunCounter runs = new RunCounter();
-    private final RunCounter byPrompt = new RunCounter();
-    private final OrderHandler orders;
-    private final CompletionHandler completions;
+    private final RunCounter runsByPrompt = new RunCounter();
+    private final OrderHandler orderHandler;
+    private final CompletionHandler completionHandler;
     private volatile long loadLagMillis;
 
     private EngineStandIn(
-            MemoryBook memory,
-            OrderBook orderBook,
-            Batcher batcher,
+            AcceleratorMemory memory,
+            OrderTracker orderTracker,
+            BatchRunner batchRunner,
             Gate gate,
-            PrefixCache prefixes,
-            WeightSource weights,
+            PrefixCache prefixCache,
+            WeightSource weightSource,
             long unloadMillis,
             long loadLagMillis) {
         this.memory = memory;
-        this.orderBook = orderBook;
-        this.batcher = batcher;
+        this.orderTracker = orderTracker;
+        this.batchRunner = batchRunner;
         this.gate = gate;
         this.loadLagMillis = loadLagMillis;
-        this.orders = new OrderHandler(memory, orderBook, batcher, weights, unloadMillis, gate);
-        this.completions =
-                new CompletionHandler(memory, batcher, prefixes, runs, byPrompt, gate, cutter);
+        this.orderHandler =
+                new OrderHandler(
+                        memory, orderTracker, batchRunner, weightSource, unloadMillis, gate);
+        this.completionHandler =
+                new CompletionHandler(
+                        memory, batchRunner, prefixCache, runs, runsByPrompt, gate, truncator);
     }
 
     /**
-     * Returns an engine, with its batch running.
+     * Returns an engine, and starts its batch thread.
      *
-     * @param memory its memory
-     * @param orders its orders
-     * @param scheduler its batch
-     * @param prefixes its prefix cache
-     * @param weights where it gets weights from
-     * @param unloadMillis how long an unload takes
-     * @param loadLagMillis how old the load figures are that it publishes
+     * @param memory the memory of its accelerators
+     * @param orderTracker tracks the orders
+     * @param scheduler schedules the requests
+     * @param prefixCache the prefix cache
+     * @param weightSource the source of weights
+     * @param unloadMillis the duration of an unload in milliseconds
+     * @param loadLagMillis the age of the published load figures in milliseconds
      * @return the stand-in
      */
     public static EngineStandIn of(
-            MemoryBook memory,
-            OrderBook orders,
+            AcceleratorMemory memory,
+            OrderTracker orderTracker,
             BatchScheduler scheduler,
-            PrefixCache prefixes,
-            WeightSource weights,
+            PrefixCache prefixCache,
+            WeightSource weightSource,
             long unloadMillis,
             long loadLagMillis) {
         Gate gate = new Gate();
         return new EngineStandIn(
                 memory,
-                orders,
-                Batcher.start(scheduler, gate),
+                orderTracker,
+                BatchRunner.start(scheduler, gate),
                 gate,
-                prefixes,
-                weights,
+                prefixCache,
+                weightSource,
                 unloadMillis,
                 loadLagMillis);
     }
 
     @Override
-    public HttpHandler service() {
+    public HttpHandler serviceHandler() {
         return Handlers.routing()
-                .post("/v1/chat/completions", completions)
-                .post("/v1/completions", completions)
-                .post("/admin/orders", orders)
-                .get("/admin/inventory", this::inventory);
+                .post("/v1/chat/completions", completionHandler)
+                .post("/v1/completions", completionHandler)
+                .post("/admin/orders", orderHandler)
+                .get("/admin/inventory", this::sendInventory);
     }
 
     @Override
-    public HttpHandler control() {
+    public HttpHandler controlHandler() {
         return Handlers.routing()
-                .put("/control/orders", orders::setFaults)
-                .get("/control/orders", orders::showWaiting)
-                .put("/control/freeze", this::freeze)
-                .put("/control/cut", this::cut)
+                .put("/control/orders", orderHandler::setFaults)
+                .get("/control/orders", orderHandler::sendDelayedOrders)
+                .put("/control/freeze", this::setFrozen)
+                .put("/control/cut", this::truncateNext)
                 .put("/control/load-lag", this::setLoadLag)
                 .get("/control/runs", this::runs)
-                .get("/control/state", call -> Answers.json(call, 200, state()));
+                .get("/control/state", call -> HttpExchanges.sendJson(call, 200, state()));
     }
 
-    private void inventory(HttpServerExchange exchange) throws IOException {
-        gate.pass();
-        Answers.json(exchange, 200, state());
+    private void sendInventory(HttpServerExchange exchange) throws IOException {
+        gate.awaitOpen();
+        HttpExchanges.sendJson(exchange, 200, state());
     }
 
     private Inventory state() {
-        Inventory.LoadState load = batcher.loadAt(System.currentTimeMillis() - loadLagMillis);
+        Inventory.LoadState load = batchRunner.loadAt(System.currentTimeMillis() - loadLagMillis);
         synchronized (memory) {
             return new Inventory(
-                    orderBook.highestFencing(),
-                    orders.role(),
+                    orderTracker.highestFencing(),
+                    orderHandler.role(),
                     memory.accelerators(),
                     memory.models(),
-                    orderBook.recent(),
+                    orderTracker.recentOrders(),
                     load,
                     memory.overcommits());
         }
     }
 
-    private void freeze(HttpServerExchange exchange) throws IOException {
-        gate.set(Answers.body(exchange, Control.Switch.class).on());
-        Answers.json(exchange, 200, Map.of());
+    private void setFrozen(HttpServerExchange exchange) throws IOException {
+        gate.setClosed(HttpExchanges.readBody(exchange, Control.Switch.class).on());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
-    private void cut(HttpServerExchange exchange) throws IOException {
-        cutter.set(Answers.body(exchange, Control.Cut.class));
-        Answers.json(exchange, 200, Map.of());
+    private void truncateNext(HttpServerExchange exchange) throws IOException {
+        truncator.truncateNext(HttpExchanges.readBody(exchange, Control.Cut.class));
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
     private void setLoadLag(HttpServerExchange exchange) throws IOException {
-        loadLagMillis = Answers.body(exchange, Control.Millis.class).millis();
-        Answers.json(exchange, 200, Map.of());
+        loadLagMillis = HttpExchanges.readBody(exchange, Control.Millis.class).millis();
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
     private void runs(HttpServerExchange exchange) throws IOException {
-        Answers.json(exchange, 200, Map.of("runs", runs.runs(), "byPrompt", byPrompt.runs()));
+        HttpExchanges.sendJson(
+                exchange, 200, Map.of("runs", runs.counts(), "byPrompt", runsByPrompt.counts()));
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/HttpWeights.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/HttpWeightSource.java
@@ -6,21 +6,21 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 
-/** Weights from the weight store. */
-final class HttpWeights implements WeightSource {
-    private static final int OK = 200;
+/** A source that loads weights from the weight store. */
+final class HttpWeightSource implements WeightSource {
+    private static final int STATUS_OK = 200;
 
     private final HttpClient client;
     private final URI store;
 
-    private HttpWeights(HttpClient client, URI store) {
+    private HttpWeightSource(HttpClient client, URI store) {
         this.client = client;
         this.store = store;
     }
 
-    static HttpWeights of(URI store) {
+    static HttpWeightSource of(URI store) {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-        return new HttpWeights(client, store);
+        return new HttpWeightSource(client, store);
     }
 
     @Override
@@ -28,7 +28,8 @@
         URI uri = store.resolve("/weights/" + name + "/" + version + "?mebibytes=" + mebibytes);
         try {
             HttpRequest request = HttpRequest.newBuilder(uri).build();
-            return client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == OK;
+            return client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode()
+                    == STATUS_OK;
         } catch (IOException unreachable) {
             return false;
         } catch (InterruptedException interrupted) {
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/Inventory.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/Inventory.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What an engine tells of itself.
+ * The state of an engine, as its inventory reports it.
  *
- * @param highestFencing the highest fencing number seen, or -1
- * @param role its role
- * @param accelerators its accelerators
- * @param models what is in their memory
- * @param recentOrders what became of the last orders
- * @param load its load, which lags
- * @param overcommits how many orders overcommitted memory
+ * @param highestFencing the highest fencing number received, or -1
+ * @param role the role of the engine
+ * @param accelerators the accelerators
+ * @param models the models in memory
+ * @param recentOrders the recent orders and their outcomes
+ * @param load the load at an earlier time
+ * @param overcommits the number of orders that overcommitted memory
  */
 public record Inventory(
         long highestFencing,
@@ -23,23 +23,23 @@
         int overcommits) {
 
     /**
-     * An accelerator.
+     * The state of an accelerator.
      *
-     * @param name its name
-     * @param memoryMebibytes its memory
-     * @param usedMebibytes the memory that weights take
+     * @param name the name of the accelerator
+     * @param memoryMebibytes the size of its memory
+     * @param usedMebibytes the memory that weights occupy
      */
     public record AcceleratorState(String name, long memoryMebibytes, long usedMebibytes) {}
 
     /**
-     * A model.
+     * The state of a model in memory.
      *
-     * @param model its name
+     * @param model the name of the model
      * @param version its version
-     * @param accelerator where it is
-     * @param mebibytes the memory of its own weights
+     * @param accelerator the accelerator that holds it
+     * @param mebibytes the size of its weights, without those of adapters
      * @param state {@code loading}, {@code ready} or {@code unloading}
-     * @param adapters its adapters
+     * @param adapters the adapters in memory
      */
     public record ModelState(
             String model,
@@ -50,29 +50,29 @@
             List<AdapterState> adapters) {}
 
     /**
-     * An adapter.
+     * The state of an adapter in memory.
      *
-     * @param adapter its name
+     * @param adapter the name of the adapter
      * @param version its version
-     * @param mebibytes its memory
+     * @param mebibytes the size of its weights
      * @param state {@code loading}, {@code ready} or {@code unloading}
      */
     public record AdapterState(String adapter, String version, long mebibytes, String state) {}
 
     /**
-     * An order.
+     * The outcome of an order.
      *
-     * @param orderId its identifier
+     * @param orderId the identifier of the order
      * @param outcome {@code done}, {@code refused}, {@code ignored} or {@code running}
      */
     public record OrderState(String orderId, String outcome) {}
 
     /**
-     * The load at one moment.
+     * The load at one time.
      *
-     * @param running requests in the batch
-     * @param queued requests that wait
-     * @param asOfMillis when that was
+     * @param running the number of requests in the batch
+     * @param queued the number of queued requests
+     * @param asOfMillis the time of these numbers, in milliseconds since the epoch
      */
     public record LoadState(int running, int queued, long asOfMillis) {}
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/Job.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/Job.java
@@ -3,19 +3,19 @@
 import java.util.Objects;
 
 /**
- * A request in the engine.
+ * A request in the queue or the batch of the engine.
  *
- * @param number its number, which grows
+ * @param number the number of the request; later requests have higher numbers
  * @param model the model it uses
- * @param priority a higher one goes first
- * @param promptTokens how many prompt tokens have to be read
- * @param firstToken the first token to generate
- * @param endToken the token after the last
+ * @param priority the priority; higher ones are scheduled first
+ * @param promptTokens the number of prompt tokens to process
+ * @param firstToken the index of the first token to generate
+ * @param endToken the index after that of the last token
  */
 public record Job(
         long number, String model, int priority, int promptTokens, int firstToken, int endToken) {
 
-    /** Checks the arguments. */
+    /** Checks that the model is not null. */
     public Job {
         Objects.requireNonNull(model, "model is null");
     }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/OrderFaults.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/OrderFaults.java
@@ -1,36 +1,39 @@
 package org.tamaracktrack.standins.engine;
 
-/** What happens to the next orders on their way. Not safe for use by several threads. */
+/**
+ * Faults in the delivery of orders: loss, delay and duplication. Not safe for use by several
+ * threads.
+ */
 final class OrderFaults {
-    private int lose;
-    private int twice;
+    private int ordersToLose;
+    private int ordersToDuplicate;
     private long delayMillis;
 
     /**
-     * Sets what happens.
+     * Sets the faults.
      *
-     * @param lose how many of the next orders get lost
-     * @param delayMillis how late orders come
-     * @param twice how many of the next orders come twice
+     * @param ordersToLose the number of next orders to lose
+     * @param delayMillis the delay of orders in milliseconds
+     * @param ordersToDuplicate the number of next orders to deliver twice
      */
-    void set(int lose, long delayMillis, int twice) {
-        this.lose = lose;
+    void set(int ordersToLose, long delayMillis, int ordersToDuplicate) {
+        this.ordersToLose = ordersToLose;
         this.delayMillis = delayMillis;
-        this.twice = twice;
+        this.ordersToDuplicate = ordersToDuplicate;
     }
 
     /**
-     * Returns how often the next order comes.
+     * Returns the number of deliveries of the next order.
      *
      * @return 0, 1 or 2
      */
-    int arrivals() {
-        if (lose > 0) {
-            lose--;
+    int nextDeliveryCount() {
+        if (ordersToLose > 0) {
+            ordersToLose--;
             return 0;
         }
-        if (twice > 0) {
-            twice--;
+        if (ordersToDuplicate > 0) {
+            ordersToDuplicate--;
             return 2;
         }
         return 1;
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/OrderHandler.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/OrderHandler.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.tamaracktrack.standins.http.Answers;
 import org.tamaracktrack.standins.http.Gate;
+import org.tamaracktrack.standins.http.HttpExchanges;
 
-/** Takes orders and carries them out. */
+/** Receives orders and executes them. */
 final class OrderHandler implements HttpHandler {
     private static final int THREADS = 16;
-    private static final long UNUSED_LIMIT_MILLIS = 60_000;
+    private static final long UNUSED_WAIT_LIMIT_MILLIS = 60_000;
 
-    private final MemoryBook memory;
-    private final OrderBook orders;
-    private final Batcher batcher;
-    private final WeightSource weights;
+    private final AcceleratorMemory memory;
+    private final OrderTracker orderTracker;
+    private final BatchRunner batchRunner;
+    private final WeightSource weightSource;
     private final long unloadMillis;
     private final Gate gate;
     private final OrderFaults faults = new OrderFaults();
@@ -32,20 +32,20 @@
                         thread.setDaemon(true);
                         return thread;
                     });
-    private final AtomicInteger onTheirWay = new AtomicInteger();
+    private final AtomicInteger delayedOrders = new AtomicInteger();
     private volatile String role = "serve";
 
     OrderHandler(
-            MemoryBook memory,
-            OrderBook orders,
-            Batcher batcher,
-            WeightSource weights,
+            AcceleratorMemory memory,
+            OrderTracker orderTracker,
+            BatchRunner batchRunner,
+            WeightSource weightSource,
             long unloadMillis,
             Gate gate) {
         this.memory = memory;
-        this.orders = orders;
-        this.batcher = batcher;
-        this.weights = weights;
+        this.orderTracker = orderTracker;
+        this.batchRunner = batchRunner;
+        this.weightSource = weightSource;
         this.unloadMillis = unloadMillis;
         this.gate = gate;
     }
@@ -57,68 +57,68 @@
     }
 
     void setFaults(HttpServerExchange exchange) throws IOException {
-        FaultSetting setting = Answers.body(exchange, FaultSetting.class);
+        FaultSetting setting = HttpExchanges.readBody(exchange, FaultSetting.class);
         synchronized (memory) {
             faults.set(setting.lose(), setting.delayMillis(), setting.twice());
         }
-        Answers.json(exchange, 200, Map.of());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
-    void showWaiting(HttpServerExchange exchange) throws IOException {
-        Answers.json(exchange, 200, Map.of("onTheirWay", onTheirWay.get()));
+    void sendDelayedOrders(HttpServerExchange exchange) throws IOException {
+        HttpExchanges.sendJson(exchange, 200, Map.of("onTheirWay", delayedOrders.get()));
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) throws Exception {
-        EngineOrder order = Answers.body(exchange, EngineOrder.class);
-        gate.pass();
-        if (!order.complete()) {
-            Answers.error(exchange, 400, "bad_order");
+        EngineOrder order = HttpExchanges.readBody(exchange, EngineOrder.class);
+        gate.awaitOpen();
+        if (!order.hasRequiredFields()) {
+            HttpExchanges.sendError(exchange, 400, "bad_order");
             return;
         }
-        int arrivals;
+        int deliveries;
         long delayMillis;
         synchronized (memory) {
-            arrivals = faults.arrivals();
+            deliveries = faults.nextDeliveryCount();
             delayMillis = faults.delayMillis();
         }
-        if (arrivals == 0) {
-            taken(exchange);
+        if (deliveries == 0) {
+            sendAccepted(exchange);
         } else if (delayMillis > 0) {
-            arriveLate(order, arrivals, delayMillis);
-            taken(exchange);
+            deliverLater(order, deliveries, delayMillis);
+            sendAccepted(exchange);
         } else {
-            arriveNow(exchange, order, arrivals);
+            deliverNow(exchange, order, deliveries);
         }
     }
 
-    private void arriveLate(EngineOrder order, int arrivals, long delayMillis) {
-        for (int arrival = 0; arrival < arrivals; arrival++) {
-            onTheirWay.incrementAndGet();
-            executor.schedule(() -> arriveAtLast(order), delayMillis, TimeUnit.MILLISECONDS);
+    private void deliverLater(EngineOrder order, int deliveries, long delayMillis) {
+        for (int delivery = 0; delivery < deliveries; delivery++) {
+            delayedOrders.incrementAndGet();
+            executor.schedule(() -> deliverDelayed(order), delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void arriveAtLast(EngineOrder order) {
-        arrive(order);
-        onTheirWay.decrementAndGet();
+    private void deliverDelayed(EngineOrder order) {
+        deliver(order);
+        delayedOrders.decrementAndGet();
     }
 
-    private void arriveNow(HttpServerExchange exchange, EngineOrder order, int arrivals)
+    private void deliverNow(HttpServerExchange exchange, EngineOrder order, int deliveries)
             throws IOException {
-        Refusal refusal = arrive(order);
-        if (arrivals > 1) {
-            arrive(order);
+        Refusal refusal = deliver(order);
+        if (deliveries > 1) {
+            deliver(order);
         }
         switch (refusal) {
-            case FENCED -> Answers.error(exchange, 409, "fenced");
-            case NO_MEMORY -> Answers.error(exchange, 409, "no_memory");
-            default -> taken(exchange);
+            case FENCED -> HttpExchanges.sendError(exchange, 409, "fenced");
+            case NO_MEMORY -> HttpExchanges.sendError(exchange, 409, "no_memory");
+            default -> sendAccepted(exchange);
         }
     }
 
-    private static void taken(HttpServerExchange exchange) throws IOException {
-        Answers.json(exchange, 202, Map.of());
+    private static void sendAccepted(HttpServerExchange exchange) throws IOException {
+        HttpExchanges.sendJson(exchange, 202, Map.of());
     }
 
     private enum Refusal {
@@ -127,35 +127,36 @@
         NO_MEMORY
     }
 
-    private Refusal arrive(EngineOrder order) {
+    private Refusal deliver(EngineOrder order) {
         synchronized (memory) {
-            return switch (orders.decide(order, System.currentTimeMillis())) {
+            return switch (orderTracker.decide(order, System.currentTimeMillis())) {
                 case FENCED -> Refusal.FENCED;
                 case EXPIRED, SEEN -> Refusal.NONE;
-                case CARRY_OUT -> carryOut(order);
+                case CARRY_OUT -> execute(order);
             };
         }
     }
 
-    private Refusal carryOut(EngineOrder order) {
-        MemoryBook.Begun begun =
+    private Refusal execute(EngineOrder order) {
+        AcceleratorMemory.BeginResult result =
                 switch (order.kind()) {
                     case LOAD_MODEL -> memory.beginLoadModel(order);
                     case LOAD_ADAPTER -> memory.beginLoadAdapter(order);
                     case UNLOAD_MODEL, UNLOAD_ADAPTER -> memory.beginUnload(order);
                     case SET_ROLE -> setRole(order.role());
                 };
-        switch (begun) {
+        switch (result) {
             case STARTED -> executor.execute(() -> finish(order));
-            case ALREADY_DONE -> orders.settle(order.orderId(), OrderBook.Outcome.DONE);
-            default -> orders.settle(order.orderId(), OrderBook.Outcome.REFUSED);
+            case ALREADY_DONE ->
+                    orderTracker.recordOutcome(order.orderId(), OrderTracker.Outcome.DONE);
+            default -> orderTracker.recordOutcome(order.orderId(), OrderTracker.Outcome.REFUSED);
         }
-        return begun == MemoryBook.Begun.NO_MEMORY ? Refusal.NO_MEMORY : Refusal.NONE;
+        return result == AcceleratorMemory.BeginResult.NO_MEMORY ? Refusal.NO_MEMORY : Refusal.NONE;
     }
 
-    private MemoryBook.Begun setRole(String newRole) {
+    private AcceleratorMemory.BeginResult setRole(String newRole) {
         role = newRole;
-        return MemoryBook.Begun.ALREADY_DONE;
+        return AcceleratorMemory.BeginResult.ALREADY_DONE;
     }
 
     private void finish(EngineOrder order) {
@@ -171,22 +172,23 @@
 
     private void finishLoad(EngineOrder order) {
         String name = order.adapter() == null ? order.model() : order.adapter();
-        boolean loaded = weights.fetch(name, order.version(), order.mebibytes());
-        gate.pass();
+        boolean loaded = weightSource.fetch(name, order.version(), order.mebibytes());
+        gate.awaitOpen();
         synchronized (memory) {
             memory.endLoad(order, loaded);
-            orders.settle(
-                    order.orderId(), loaded ? OrderBook.Outcome.DONE : OrderBook.Outcome.REFUSED);
+            orderTracker.recordOutcome(
+                    order.orderId(),
+                    loaded ? OrderTracker.Outcome.DONE : OrderTracker.Outcome.REFUSED);
         }
     }
 
     private void finishUnload(EngineOrder order) {
-        batcher.awaitUnused(order.model(), UNUSED_LIMIT_MILLIS);
-        FixedTimeWeights.of(unloadMillis).fetch(order.model(), "", 0);
-        gate.pass();
+        batchRunner.awaitUnused(order.model(), UNUSED_WAIT_LIMIT_MILLIS);
+        FixedDelayWeightSource.of(unloadMillis).fetch(order.model(), "", 0);
+        gate.awaitOpen();
         synchronized (memory) {
             memory.endUnload(order);
-            orders.settle(order.orderId(), OrderBook.Outcome.DONE);
+            orderTracker.recordOutcome(order.orderId(), OrderTracker.Outcome.DONE);
         }
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/OrderBook.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/OrderTracker.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** Which orders are carried out, and what became of them. Not safe for use by several threads. */
-public final class OrderBook {
-    private static final int REMEMBERED = 1000;
+/**
+ * Decides which orders are executed, and records their outcomes. Not safe for use by several
+ * threads.
+ */
+public final class OrderTracker {
+    private static final int MAXIMUM_TRACKED_ORDERS = 1000;
 
     private final boolean checksFencing;
     private final Map<String, Outcome> outcomes =
@@ -16,16 +19,16 @@
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Outcome> eldest) {
-                    return size() > REMEMBERED;
+                    return size() > MAXIMUM_TRACKED_ORDERS;
                 }
             };
     private long highestFencing = -1;
 
-    private OrderBook(boolean checksFencing) {
+    private OrderTracker(boolean checksFencing) {
         this.checksFencing = checksFencing;
     }
 
-    /** What became of an order. */
+    /** The outcomes of orders. */
     public enum Outcome {
         DONE("done"),
         REFUSED("refused"),
@@ -39,63 +42,63 @@
         }
     }
 
-    /** What to do with an order that has come. */
-    public enum Verdict {
+    /** The decisions on a received order. */
+    public enum Decision {
         CARRY_OUT,
         FENCED,
-        /** It came too late. */
+        /** The order was received after its lifetime. */
         EXPIRED,
-        /** It came before. */
+        /** The order has been received before. */
         SEEN
     }
 
     /**
-     * Returns a book without orders.
+     * Returns a tracker without orders.
      *
      * @param checksFencing whether orders with an old fencing number are refused
-     * @return the book
+     * @return the tracker
      */
-    public static OrderBook of(boolean checksFencing) {
-        return new OrderBook(checksFencing);
+    public static OrderTracker of(boolean checksFencing) {
+        return new OrderTracker(checksFencing);
     }
 
     /**
-     * Decides on an order that has come, and remembers it.
+     * Decides whether to execute a received order, and records the order.
      *
      * @param order the order
-     * @param nowMillis the time
-     * @return what to do with it
+     * @param nowMillis the current time, in milliseconds since the epoch
+     * @return the decision
      */
-    public Verdict decide(EngineOrder order, long nowMillis) {
+    public Decision decide(EngineOrder order, long nowMillis) {
         Objects.requireNonNull(order, "order is null");
         if (outcomes.containsKey(order.orderId())) {
-            return Verdict.SEEN;
+            return Decision.SEEN;
         }
         if (checksFencing && order.fencing() < highestFencing) {
             outcomes.put(order.orderId(), Outcome.REFUSED);
-            return Verdict.FENCED;
+            return Decision.FENCED;
         }
         highestFencing = Math.max(highestFencing, order.fencing());
         if (nowMillis > order.issuedAtMillis() + order.lifetimeMillis()) {
             outcomes.put(order.orderId(), Outcome.IGNORED);
-            return Verdict.EXPIRED;
+            return Decision.EXPIRED;
         }
         outcomes.put(order.orderId(), Outcome.RUNNING);
-        return Verdict.CARRY_OUT;
+        return Decision.CARRY_OUT;
     }
 
     /**
-     * Remembers what became of an order.
+     * Records the outcome of an order.
      *
-     * @param orderId the order
-     * @param outcome what became of it
+     * @param orderId the identifier of the order
+     * @param outcome the outcome
      */
-    public void settle(String orderId, Outcome outcome) {
+    public void recordOutcome(String orderId, Outcome outcome) {
         outcomes.put(orderId, outcome);
     }
 
     /**
-     * Returns the highest fencing number seen.
+     * Returns the highest fencing number received.
      *
      * @return the number, or -1
      */
@@ -104,11 +107,11 @@
     }
 
     /**
-     * Returns what became of the last orders.
+     * Returns the recent orders and their outcomes.
      *
      * @return the orders, oldest first
      */
-    public List<Inventory.OrderState> recent() {
+    public List<Inventory.OrderState> recentOrders() {
         return outcomes.entrySet().stream()
                 .map(entry -> new Inventory.OrderState(entry.getKey(), entry.getValue().text))
                 .toList();
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/PrefixCache.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/PrefixCache.java
@@ -3,15 +3,18 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The prompt prefixes used of late. Not safe for use by several threads. */
+/**
+ * Emulates a prefix cache: keeps the most recently used prompt prefixes. Not safe for use by
+ * several threads.
+ */
 public final class PrefixCache {
     private static final int PREFIX_TOKENS = 64;
     private static final int CACHED_COST_DIVISOR = 4;
 
-    private final Map<String, Boolean> recent;
+    private final Map<String, Boolean> recentPrefixes;
 
     private PrefixCache(int capacity) {
-        this.recent =
+        this.recentPrefixes =
                 new LinkedHashMap<>(capacity, 0.75f, true) {
                     private static final long serialVersionUID = 1L;
 
@@ -25,7 +28,7 @@
     /**
      * Returns an empty cache.
      *
-     * @param capacity how many prefixes it remembers
+     * @param capacity the maximum number of prefixes
      * @return the cache
      */
     public static PrefixCache of(int capacity) {
@@ -33,20 +36,20 @@
     }
 
     /**
-     * Reads a prompt. One that begins with the same 64 tokens as a recent one for the same model
-     * costs a quarter.
+     * Adds the prefix of a prompt to the cache, and returns the cost of processing the prompt. A
+     * prompt whose first 64 tokens are cached for the model costs a quarter.
      *
      * @param model the model
      * @param prompt the prompt
-     * @return how many prompt tokens it costs
+     * @return the cost in prompt tokens
      */
-    public int read(String model, String prompt) {
-        int tokens = AnswerText.tokens(prompt);
+    public int promptCostTokens(String model, String prompt) {
+        int tokens = AnswerText.tokenCount(prompt);
         if (tokens < PREFIX_TOKENS) {
             return tokens;
         }
         String prefix = prompt.substring(0, PREFIX_TOKENS * AnswerText.CHARACTERS_PER_TOKEN);
-        boolean known = recent.put(model + '\n' + prefix, true) != null;
-        return known ? Math.max(1, tokens / CACHED_COST_DIVISOR) : tokens;
+        boolean cached = recentPrefixes.put(model + '\n' + prefix, true) != null;
+        return cached ? Math.max(1, tokens / CACHED_COST_DIVISOR) : tokens;
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/WeightSource.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/WeightSource.java
@@ -1,15 +1,15 @@
 package org.tamaracktrack.standins.engine;
 
-/** Where an engine gets weights from. */
+/** The source from which an engine loads weights. */
 public interface WeightSource {
 
     /**
-     * Fetches weights, and takes as long as that takes.
+     * Loads weights. Blocks for the duration of the load.
      *
      * @param name the model or adapter
-     * @param version its version
-     * @param mebibytes its size
-     * @return whether they came
+     * @param version the version
+     * @param mebibytes the size of the weights
+     * @return whether the load succeeded
      */
     boolean fetch(String name, String version, long mebibytes);
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The model engine's stand-in. */
+/** The stand-in of a model engine. */
 package org.tamaracktrack.standins.engine;
--- a/standins/src/main/java/org/tamaracktrack/standins/hosts/HostListFlags.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/hosts/HostListFlags.java
@@ -6,12 +6,12 @@
 import org.tamaracktrack.standins.StandIn;
 import org.tamaracktrack.standins.StandInFlags;
 
-/** The flags of the host list's stand-in. */
+/** Holds the flags of the host list stand-in. */
 public final class HostListFlags extends StandInFlags {
-    @Parameter(names = "--host", description = "a host as name=data-centre; may be repeated")
+    @Parameter(names = "--host", description = "a host as name=data-centre; repeatable")
     private List<String> hosts = new ArrayList<>();
 
-    @Parameter(names = "--lag-millis", description = "how old the list that callers see is")
+    @Parameter(names = "--lag-millis", description = "age of the list that clients receive")
     private long lagMillis = 2000;
 
     @Override
--- a/standins/src/main/java/org/tamaracktrack/standins/hosts/HostListStandIn.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/hosts/HostListStandIn.java
@@ -9,16 +9,16 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.tamaracktrack.standins.StandIn;
-import org.tamaracktrack.standins.http.Answers;
-import org.tamaracktrack.standins.http.BadCallException;
 import org.tamaracktrack.standins.http.Control;
-import org.tamaracktrack.standins.time.Lagged;
+import org.tamaracktrack.standins.http.HttpErrorException;
+import org.tamaracktrack.standins.http.HttpExchanges;
+import org.tamaracktrack.standins.time.LaggedValue;
 
-/** The lagging list of hosts. */
+/** Emulates the host list service, whose list lags behind the true state. */
 public final class HostListStandIn implements StandIn {
     private static final String LIVE = "live";
 
-    private final Lagged<Map<String, ListedHost>> hosts = Lagged.of(Map.of());
+    private final LaggedValue<Map<String, ListedHost>> hosts = LaggedValue.of(Map.of());
     private long lagMillis;
     private boolean outage;
 
@@ -35,7 +35,7 @@
     /**
      * Returns an empty list.
      *
-     * @param lagMillis how old the list that callers see is
+     * @param lagMillis the age of the list that clients receive, in milliseconds
      * @return the stand-in
      */
     public static HostListStandIn of(long lagMillis) {
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Adds a host that has always been there.
+     * Adds a host that is live at all earlier times too.
      *
-     * @param host its name
-     * @param dataCentre its data centre
+     * @param host the name of the host
+     * @param dataCentre the data centre of the host
      */
     public synchronized void add(String host, String dataCentre) {
         put(Long.MIN_VALUE, new ListedHost(host, dataCentre, LIVE));
@@ -59,66 +59,66 @@
     }
 
     @Override
-    public HttpHandler service() {
-        return Handlers.routing().get("/hosts", this::list);
+    public HttpHandler serviceHandler() {
+        return Handlers.routing().get("/hosts", this::sendHosts);
     }
 
     @Override
-    public HttpHandler control() {
+    public HttpHandler controlHandler() {
         return Handlers.routing()
-                .put("/control/host", this::change)
+                .put("/control/host", this::changeHost)
                 .put("/control/lag", this::setLag)
                 .put("/control/outage", this::setOutage)
-                .get("/control/state", this::state);
+                .get("/control/state", this::sendState);
     }
 
-    private void list(HttpServerExchange exchange) throws IOException {
-        Answers.json(exchange, 200, seen());
+    private void sendHosts(HttpServerExchange exchange) throws IOException {
+        HttpExchanges.sendJson(exchange, 200, visibleHosts());
     }
 
-    private synchronized HostList seen() {
+    private synchronized HostList visibleHosts() {
         if (outage) {
-            throw BadCallException.of(503, "outage");
+            throw HttpErrorException.of(503, "outage");
         }
-        return new HostList(hosts.at(System.currentTimeMillis() - lagMillis).values());
+        return new HostList(hosts.valueAt(System.currentTimeMillis() - lagMillis).values());
     }
 
-    private void state(HttpServerExchange exchange) throws IOException {
-        Answers.json(exchange, 200, latest());
+    private void sendState(HttpServerExchange exchange) throws IOException {
+        HttpExchanges.sendJson(exchange, 200, latestHosts());
     }
 
-    private synchronized HostList latest() {
+    private synchronized HostList latestHosts() {
         return new HostList(hosts.latest().values());
     }
 
-    private void change(HttpServerExchange exchange) throws IOException {
-        HostChange change = Answers.body(exchange, HostChange.class);
+    private void changeHost(HttpServerExchange exchange) throws IOException {
+        HostChange change = HttpExchanges.readBody(exchange, HostChange.class);
         synchronized (this) {
             Optional<ListedHost> known = Optional.ofNullable(hosts.latest().get(change.host()));
             String dataCentre =
                     Optional.ofNullable(change.dataCentre())
                             .or(() -> known.map(ListedHost::dataCentre))
-                            .orElseThrow(() -> BadCallException.of(400, "unknown_host"));
+                            .orElseThrow(() -> HttpErrorException.of(400, "unknown_host"));
             put(
                     System.currentTimeMillis(),
                     new ListedHost(change.host(), dataCentre, change.state()));
         }
-        Answers.json(exchange, 200, Map.of());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
     private void setLag(HttpServerExchange exchange) throws IOException {
-        long millis = Answers.body(exchange, Control.Millis.class).millis();
+        long millis = HttpExchanges.readBody(exchange, Control.Millis.class).millis();
         synchronized (this) {
             lagMillis = millis;
         }
-        Answers.json(exchange, 200, Map.of());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
     private void setOutage(HttpServerExchange exchange) throws IOException {
-        boolean on = Answers.body(exchange, Control.Switch.class).on();
+        boolean on = HttpExchanges.readBody(exchange, Control.Switch.class).on();
         synchronized (this) {
             outage = on;
         }
-        Answers.json(exchange, 200, Map.of());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/hosts/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/hosts/package-info.java
@@ -1,2 +1,2 @@
-/** The host list's stand-in. */
+/** The stand-in of the host list. */
 package org.tamaracktrack.standins.hosts;
--- a/standins/src/main/java/org/tamaracktrack/standins/http/Control.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/http/Control.java
@@ -1,35 +1,35 @@
 package org.tamaracktrack.standins.http;
 
-/** The bodies of control calls that several stand-ins share. */
+/** The bodies of control requests that several stand-ins share. */
 public final class Control {
     private Control() {}
 
     /**
-     * Turns something on or off.
+     * Turns a fault on or off.
      *
-     * @param on whether it is on
+     * @param on whether the fault is on
      */
     public record Switch(boolean on) {}
 
     /**
-     * Sets a time.
+     * Sets a duration.
      *
-     * @param millis the time
+     * @param millis the duration in milliseconds
      */
     public record Millis(long millis) {}
 
     /**
-     * Sets how many of the next calls something happens to.
+     * Sets the number of next requests that a fault applies to.
      *
-     * @param count how many
+     * @param count the number of requests
      */
     public record Count(int count) {}
 
     /**
-     * Cuts the next answers.
+     * Truncates the next responses.
      *
-     * @param afterBytes how many bytes of the body are sent first
-     * @param count how many answers are cut
+     * @param afterBytes the number of bytes of the body that are sent
+     * @param count the number of responses to truncate
      */
     public record Cut(int afterBytes, int count) {}
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/http/Gate.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/http/Gate.java
@@ -1,24 +1,24 @@
 package org.tamaracktrack.standins.http;
 
-/** Holds threads back while it is closed, as a frozen process would. */
+/** Blocks threads while it is closed, to emulate a process that is suspended. */
 public final class Gate {
     private boolean closed;
 
-    /** Makes an open gate. */
+    /** Creates an open gate. */
     public Gate() {}
 
     /**
      * Closes or opens the gate.
      *
-     * @param close whether to close it
+     * @param close whether to close the gate
      */
-    public synchronized void set(boolean close) {
+    public synchronized void setClosed(boolean close) {
         closed = close;
         notifyAll();
     }
 
     /** Waits until the gate is open. */
-    public synchronized void pass() {
+    public synchronized void awaitOpen() {
         while (closed) {
             try {
                 wait();
--- a/standins/src/main/java/org/tamaracktrack/standins/http/BadCallException.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/http/HttpErrorException.java
@@ -2,14 +2,14 @@
 
 import java.util.Objects;
 
-/** A call that a stand-in answers with an error. */
-public final class BadCallException extends RuntimeException {
+/** Thrown while a request is handled if the stand-in is to send an error response. */
+public final class HttpErrorException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final int status;
     private final String code;
 
-    private BadCallException(int status, String code) {
+    private HttpErrorException(int status, String code) {
         super(code);
         this.status = status;
         this.code = code;
@@ -19,12 +19,12 @@
      * Returns an exception.
      *
      * @param status the HTTP status
-     * @param code the code in the answer
+     * @param code the error code of the response
      * @return the exception
      */
-    public static BadCallException of(int status, String code) {
+    public static HttpErrorException of(int status, String code) {
         Objects.requireNonNull(code, "code is null");
-        return new BadCallException(status, code);
+        return new HttpErrorException(status, code);
     }
 
     /**
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Returns the code in the answer.
+     * Returns the error code of the response.
      *
      * @return the code
      */
--- a/standins/src/main/java/org/tamaracktrack/standins/http/Sha256.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/http/Sha256.java
@@ -7,12 +7,12 @@
 import org.tamaracktrack.core.error.ErrorCode;
 import org.tamaracktrack.core.error.TamaracktrackException;
 
-/** SHA-256 in lower-case hex. */
+/** Computes SHA-256 hashes in lower-case hexadecimal. */
 public final class Sha256 {
     private Sha256() {}
 
     /**
-     * Returns the hash of a text's UTF-8 bytes.
+     * Returns the hash of the UTF-8 encoding of a text.
      *
      * @param text the text
      * @return the hash in hex
@@ -31,7 +31,8 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (NoSuchAlgorithmException impossible) {
-            throw TamaracktrackException.of(ErrorCode.INTERNAL, "no SHA-256", impossible);
+            throw TamaracktrackException.of(
+                    ErrorCode.INTERNAL, "SHA-256 is not available", impossible);
         }
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/http/StandInServer.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import org.tamaracktrack.standins.StandIn;
 
-/** A stand-in with both its interfaces open on 127.0.0.1. */
+/** An HTTP server that exposes both interfaces of a stand-in on 127.0.0.1. */
 public final class StandInServer implements AutoCloseable {
     private static final String LOOPBACK = "127.0.0.1";
     private static final int IO_THREADS = 2;
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Opens the interfaces.
+     * Starts a server.
      *
      * @param standIn the stand-in
-     * @param port the port of the service, or 0 for any
+     * @param port the port of the emulated system, or 0 for any
      * @param controlPort the port of the control interface, or 0 for any
      * @return the running server
      */
@@ -36,8 +36,8 @@
                         .setIoThreads(IO_THREADS)
                         .setWorkerThreads(WORKER_THREADS)
                         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAXIMUM_BODY_BYTES)
-                        .addHttpListener(port, LOOPBACK, blocking(standIn.service()))
-                        .addHttpListener(controlPort, LOOPBACK, blocking(standIn.control()))
+                        .addHttpListener(port, LOOPBACK, blocking(standIn.serviceHandler()))
+                        .addHttpListener(controlPort, LOOPBACK, blocking(standIn.controlHandler()))
                         .build();
         server.start();
         return new StandInServer(server);
@@ -48,14 +48,14 @@
                 exchange -> {
                     try {
                         handler.handleRequest(exchange);
-                    } catch (BadCallException wrong) {
-                        Answers.error(exchange, wrong.status(), wrong.code());
+                    } catch (HttpErrorException failure) {
+                        HttpExchanges.sendError(exchange, failure.status(), failure.code());
                     }
                 });
     }
 
     /**
-     * Returns the port of the service.
+     * Returns the port of the emulated system.
      *
      * @return the port
      */
--- a/standins/src/main/java/org/tamaracktrack/standins/http/TokenBucket.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/http/TokenBucket.java
@@ -1,27 +1,27 @@
 package org.tamaracktrack.standins.http;
 
-/** Limits a rate, with bursts. Not safe for use by several threads. */
+/** A rate limiter that allows bursts. Not safe for use by several threads. */
 public final class TokenBucket {
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final double perSecond;
     private final double burst;
     private double tokens;
-    private long atMillis;
+    private long refilledAtMillis;
 
     private TokenBucket(double perSecond, double burst, long nowMillis) {
         this.perSecond = perSecond;
         this.burst = burst;
         this.tokens = burst;
-        this.atMillis = nowMillis;
+        this.refilledAtMillis = nowMillis;
     }
 
     /**
      * Returns a full bucket.
      *
-     * @param perSecond the rate
-     * @param burst how many may come at once
-     * @param nowMillis the time
+     * @param perSecond the rate in tokens per second
+     * @param burst the capacity of the bucket
+     * @param nowMillis the current time in milliseconds
      * @return the bucket
      */
     public static TokenBucket of(double perSecond, double burst, long nowMillis) {
@@ -29,15 +29,15 @@
     }
 
     /**
-     * Takes one token if there is one.
+     * Takes a token if one is available.
      *
-     * @param nowMillis the time
-     * @return whether there was one
+     * @param nowMillis the current time in milliseconds
+     * @return whether a token was taken
      */
-    public boolean take(long nowMillis) {
-        double gained = (nowMillis - atMillis) * perSecond / MILLIS_PER_SECOND;
-        tokens = Math.min(burst, tokens + gained);
-        atMillis = nowMillis;
+    public boolean tryTake(long nowMillis) {
+        double refill = (nowMillis - refilledAtMillis) * perSecond / MILLIS_PER_SECOND;
+        tokens = Math.min(burst, tokens + refill);
+        refilledAtMillis = nowMillis;
         if (tokens < 1) {
             return false;
         }
--- a/standins/src/main/java/org/tamaracktrack/standins/http/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/http/package-info.java
@@ -1,2 +1,2 @@
-/** What every stand-in's HTTP interface needs. */
+/** The HTTP server and helpers that all stand-ins share. */
 package org.tamaracktrack.standins.http;
--- a/standins/src/main/java/org/tamaracktrack/standins/log/LogFlags.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/log/LogFlags.java
@@ -4,12 +4,12 @@
 import org.tamaracktrack.standins.StandIn;
 import org.tamaracktrack.standins.StandInFlags;
 
-/** The flags of the log's stand-in. */
+/** Holds the flags of the log stand-in. */
 public final class LogFlags extends StandInFlags {
-    @Parameter(names = "--appends-per-second", description = "limit of the rate of appends")
+    @Parameter(names = "--appends-per-second", description = "rate limit of appends")
     private double appendsPerSecond = 300;
 
-    @Parameter(names = "--retained-records", description = "records kept in each stream")
+    @Parameter(names = "--retained-records", description = "records retained in each stream")
     private int retainedRecords = 100_000;
 
     @Override
--- a/standins/src/main/java/org/tamaracktrack/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/log/LogStandIn.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.tamaracktrack.standins.StandIn;
-import org.tamaracktrack.standins.http.Answers;
-import org.tamaracktrack.standins.http.BadCallException;
 import org.tamaracktrack.standins.http.Control;
+import org.tamaracktrack.standins.http.HttpErrorException;
+import org.tamaracktrack.standins.http.HttpExchanges;
 import org.tamaracktrack.standins.http.TokenBucket;
 
-/** The append-only log. */
+/** Emulates the log service. */
 public final class LogStandIn implements StandIn {
-    private static final int MAXIMUM_PAGE = 1000;
+    private static final int MAXIMUM_PAGE_RECORDS = 1000;
 
     private final LogStore store;
     private TokenBucket rate;
     private boolean outage;
-    private long slowMillis;
-    private int answersToLose;
+    private long responseDelayMillis;
+    private int responsesToLose;
     private long appends;
     private long reads;
 
@@ -37,8 +37,8 @@
     /**
      * Returns an empty log.
      *
-     * @param retainedRecords how many records each stream keeps
-     * @param appendsPerSecond the limit of the rate of appends
+     * @param retainedRecords the number of records that each stream retains
+     * @param appendsPerSecond the rate limit of appends
      * @return the stand-in
      */
     public static LogStandIn of(int retainedRecords, double appendsPerSecond) {
@@ -50,51 +50,59 @@
     }
 
     @Override
-    public HttpHandler service() {
+    public HttpHandler serviceHandler() {
         return Handlers.routing()
                 .post("/streams/{stream}/records", this::append)
                 .get("/streams/{stream}/records", this::read);
     }
 
     @Override
-    public HttpHandler control() {
+    public HttpHandler controlHandler() {
         return Handlers.routing()
-                .put("/control/outage", call -> set(call, Control.Switch.class, this::setOutage))
-                .put("/control/slow", call -> set(call, Control.Millis.class, this::setSlow))
-                .put("/control/lose-answers", call -> set(call, Control.Count.class, this::setLose))
-                .put("/control/retention", call -> set(call, Retention.class, this::setRetention))
-                .put("/control/rate", call -> set(call, Rate.class, this::setRate))
-                .get("/control/state", call -> Answers.json(call, 200, state()));
+                .put(
+                        "/control/outage",
+                        call -> applySetting(call, Control.Switch.class, this::setOutage))
+                .put(
+                        "/control/slow",
+                        call -> applySetting(call, Control.Millis.class, this::setResponseDelay))
+                .put(
+                        "/control/lose-answers",
+                        call -> applySetting(call, Control.Count.class, this::setResponsesToLose))
+                .put(
+                        "/control/retention",
+                        call -> applySetting(call, Retention.class, this::setRetention))
+                .put("/control/rate", call -> applySetting(call, Rate.class, this::setRate))
+                .get("/control/state", call -> HttpExchanges.sendJson(call, 200, state()));
     }
 
     private interface Setter<T> {
         void set(T value);
     }
 
-    private <T> void set(HttpServerExchange exchange, Class<T> type, Setter<T> setter)
+    private <T> void applySetting(HttpServerExchange exchange, Class<T> type, Setter<T> setter)
             throws IOException {
-        T value = Answers.body(exchange, type);
+        T value = HttpExchanges.readBody(exchange, type);
         synchronized (this) {
             setter.set(value);
             notifyAll();
         }
-        Answers.json(exchange, 200, Map.of());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
     private void setOutage(Control.Switch value) {
         outage = value.on();
     }
 
-    private void setSlow(Control.Millis value) {
-        slowMillis = value.millis();
+    private void setResponseDelay(Control.Millis value) {
+        responseDelayMillis = value.millis();
     }
 
-    private void setLose(Control.Count value) {
-        answersToLose = value.count();
+    private void setResponsesToLose(Control.Count value) {
+        responsesToLose = value.count();
     }
 
     private void setRetention(Retention value) {
-        store.retain(value.records());
+        store.setRetainedRecords(value.records());
     }
 
     private void setRate(Rate value) {
@@ -105,32 +113,32 @@
         return new TreeMap<>(
                 Map.of(
                         "outage", outage,
-                        "slowMillis", slowMillis,
-                        "answersToLose", answersToLose,
+                        "slowMillis", responseDelayMillis,
+                        "answersToLose", responsesToLose,
                         "appends", appends,
                         "reads", reads,
                         "nextOffsets", store.nextOffsets()));
     }
 
     private void append(HttpServerExchange exchange) throws IOException {
-        String stream = Answers.query(exchange, "stream").orElseThrow();
-        String body = new String(Answers.body(exchange), StandardCharsets.UTF_8);
-        waitIfSlow();
+        String stream = HttpExchanges.queryParameter(exchange, "stream").orElseThrow();
+        String body = new String(HttpExchanges.readBody(exchange), StandardCharsets.UTF_8);
+        delayResponse();
         LogStore.StoredRecord written;
-        boolean lost;
+        boolean responseLost;
         synchronized (this) {
-            checkTakesAppends();
+            checkAppendAllowed();
             written = store.append(stream, body, System.currentTimeMillis());
             appends++;
-            lost = answersToLose > 0;
-            answersToLose -= lost ? 1 : 0;
+            responseLost = responsesToLose > 0;
+            responsesToLose -= responseLost ? 1 : 0;
             notifyAll();
         }
-        if (lost) {
-            Answers.drop(exchange);
+        if (responseLost) {
+            HttpExchanges.closeConnection(exchange);
             return;
         }
-        Answers.json(
+        HttpExchanges.sendJson(
                 exchange,
                 200,
                 Map.of(
@@ -138,49 +146,50 @@
                         "appendedAtMillis", written.appendedAtMillis()));
     }
 
-    private void checkTakesAppends() {
-        checkUp();
-        if (!rate.take(System.currentTimeMillis())) {
-            throw BadCallException.of(429, "rate");
+    private void checkAppendAllowed() {
+        checkAvailable();
+        if (!rate.tryTake(System.currentTimeMillis())) {
+            throw HttpErrorException.of(429, "rate");
         }
     }
 
-    private void checkUp() {
+    private void checkAvailable() {
         if (outage) {
-            throw BadCallException.of(503, "outage");
+            throw HttpErrorException.of(503, "outage");
         }
     }
 
     private void read(HttpServerExchange exchange) throws IOException {
-        String stream = Answers.query(exchange, "stream").orElseThrow();
-        long from = Answers.query(exchange, "from", 0);
-        int maximum = (int) Answers.query(exchange, "maximum", MAXIMUM_PAGE);
-        long waitMillis = Answers.query(exchange, "waitMillis", 0);
-        waitIfSlow();
-        Answers.json(exchange, 200, awaitPage(stream, from, maximum, waitMillis));
+        String stream = HttpExchanges.queryParameter(exchange, "stream").orElseThrow();
+        long from = HttpExchanges.queryParameter(exchange, "from", 0);
+        int maximum = (int) HttpExchanges.queryParameter(exchange, "maximum", MAXIMUM_PAGE_RECORDS);
+        long waitMillis = HttpExchanges.queryParameter(exchange, "waitMillis", 0);
+        delayResponse();
+        HttpExchanges.sendJson(exchange, 200, awaitPage(stream, from, maximum, waitMillis));
     }
 
     private synchronized LogStore.Page awaitPage(
             String stream, long from, int maximum, long waitMillis) {
-        long until = System.currentTimeMillis() + waitMillis;
+        long deadlineMillis = System.currentTimeMillis() + waitMillis;
         while (true) {
-            checkUp();
-            LogStore.Page page = store.read(stream, from, Math.min(maximum, MAXIMUM_PAGE));
-            long left = until - System.currentTimeMillis();
-            if (page.nextOffset() > from || left <= 0) {
+            checkAvailable();
+            LogStore.Page page = store.read(stream, from, Math.min(maximum, MAXIMUM_PAGE_RECORDS));
+            long remainingMillis = deadlineMillis - System.currentTimeMillis();
+            if (page.nextOffset() > from || remainingMillis <= 0) {
                 reads++;
                 return page;
             }
-            waitFor(left);
+            waitFor(remainingMillis);
         }
     }
 
-    private synchronized void waitIfSlow() {
-        long until = System.currentTimeMillis() + slowMillis;
-        long left = slowMillis;
-        while (left > 0) {
-            waitFor(left);
-            left = Math.min(slowMillis, until - System.currentTimeMillis());
+    private synchronized void delayResponse() {
+        long deadlineMillis = System.currentTimeMillis() + responseDelayMillis;
+        long remainingMillis = responseDelayMillis;
+        while (remainingMillis > 0) {
+            waitFor(remainingMillis);
+            remainingMillis =
+                    Math.min(responseDelayMillis, deadlineMillis - System.currentTimeMillis());
         }
     }
 
@@ -189,7 +198,7 @@
             wait(millis);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw BadCallException.of(503, "stopping");
+            throw HttpErrorException.of(503, "stopping");
         }
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/log/LogStore.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/log/LogStore.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** The records of every stream. Not safe for use by several threads. */
+/** Stores the records of all streams in memory. Not safe for use by several threads. */
 public final class LogStore {
     private final Map<String, Stream> streams = new HashMap<>();
     private int retainedRecords;
@@ -18,18 +18,18 @@
     /**
      * A record.
      *
-     * @param offset its offset in its stream
-     * @param appendedAtMillis when it was written
-     * @param body what was written
+     * @param offset the offset in the stream
+     * @param appendedAtMillis the time of the append, in milliseconds since the epoch
+     * @param body the content
      */
     public record StoredRecord(long offset, long appendedAtMillis, String body) {}
 
     /**
-     * A part of a stream.
+     * A range of records of a stream.
      *
-     * @param firstOffset the oldest record there still is
-     * @param nextOffset the offset of the record to be written next
-     * @param records the records that were asked for
+     * @param firstOffset the offset of the oldest record that is retained
+     * @param nextOffset the offset of the next record to be appended
+     * @param records the requested records
      */
     public record Page(long firstOffset, long nextOffset, List<StoredRecord> records) {}
 
@@ -41,7 +41,7 @@
     /**
      * Returns an empty store.
      *
-     * @param retainedRecords how many records each stream keeps
+     * @param retainedRecords the number of records that each stream retains
      * @return the store
      */
     public static LogStore of(int retainedRecords) {
@@ -49,45 +49,48 @@
     }
 
     /**
-     * Writes a record.
+     * Appends a record.
      *
-     * @param stream the stream's name
-     * @param body what to write
-     * @param nowMillis the time
+     * @param streamName the name of the stream
+     * @param body the content
+     * @param nowMillis the current time, in milliseconds since the epoch
      * @return the record
      */
-    public StoredRecord append(String stream, String body, long nowMillis) {
+    public StoredRecord append(String streamName, String body, long nowMillis) {
         Objects.requireNonNull(body, "body is null");
-        Stream to = stream(stream);
-        StoredRecord written = new StoredRecord(to.nextOffset, nowMillis, body);
-        to.nextOffset++;
-        to.records.addLast(written);
-        expire(to);
+        Stream destination = stream(streamName);
+        StoredRecord written = new StoredRecord(destination.nextOffset, nowMillis, body);
+        destination.nextOffset++;
+        destination.records.addLast(written);
+        expire(destination);
         return written;
     }
 
     /**
      * Reads records.
      *
-     * @param name the stream's name
-     * @param from the first offset wanted
-     * @param maximum how many at the most
-     * @return the records, from the oldest there still is when those before have expired
+     * @param name the name of the stream
+     * @param from the first requested offset
+     * @param maximum the maximum number of records
+     * @return the records; they start at the oldest retained record if earlier ones have expired
      */
     public Page read(String name, long from, int maximum) {
         Stream stream = stream(name);
-        long first = stream.nextOffset - stream.records.size();
+        long firstOffset = stream.nextOffset - stream.records.size();
         List<StoredRecord> records =
-                stream.records.stream().skip(Math.max(0, from - first)).limit(maximum).toList();
-        return new Page(first, stream.nextOffset, records);
+                stream.records.stream()
+                        .skip(Math.max(0, from - firstOffset))
+                        .limit(maximum)
+                        .toList();
+        return new Page(firstOffset, stream.nextOffset, records);
     }
 
     /**
-     * Changes how many records each stream keeps.
+     * Sets the number of records that each stream retains, and expires older records.
      *
-     * @param records how many
+     * @param records the number of records
      */
-    public void retain(int records) {
+    public void setRetainedRecords(int records) {
         retainedRecords = records;
         streams.values().forEach(this::expire);
     }
--- a/standins/src/main/java/org/tamaracktrack/standins/log/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/log/package-info.java
@@ -1,2 +1,2 @@
-/** The append-only log's stand-in. */
+/** The stand-in of the append-only log. */
 package org.tamaracktrack.standins.log;
--- a/standins/src/main/java/org/tamaracktrack/standins/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Small processes that take the place of the outside systems in tests and on one machine. */
+/** Stand-ins: small emulators of the outside systems, for tests and for runs on one host. */
 package org.tamaracktrack.standins;
--- a/standins/src/main/java/org/tamaracktrack/standins/service/RunCounter.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/service/RunCounter.java
@@ -4,30 +4,30 @@
 import java.util.Objects;
 import java.util.TreeMap;
 
-/** Counts how often each request ran. Safe for use by several threads. */
+/** Counts the runs of each request. Safe for use by several threads. */
 public final class RunCounter {
-    private final Map<String, Integer> runs = new TreeMap<>();
+    private final Map<String, Integer> counts = new TreeMap<>();
 
-    /** Makes a counter without runs. */
+    /** Creates a counter without runs. */
     public RunCounter() {}
 
     /**
-     * Counts a run.
+     * Adds a run of a request.
      *
-     * @param request what ran
-     * @return how often it ran so far, this time included
+     * @param request the key of the request
+     * @return the number of runs of the request, including this one
      */
-    public synchronized int count(String request) {
+    public synchronized int increment(String request) {
         Objects.requireNonNull(request, "request is null");
-        return runs.merge(request, 1, Integer::sum);
+        return counts.merge(request, 1, Integer::sum);
     }
 
     /**
-     * Returns the runs.
+     * Returns the number of runs of each request.
      *
-     * @return how often each request ran
+     * @return the number of runs by key
      */
-    public synchronized Map<String, Integer> runs() {
-        return new TreeMap<>(runs);
+    public synchronized Map<String, Integer> counts() {
+        return new TreeMap<>(counts);
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/service/ServiceFlags.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/service/ServiceFlags.java
@@ -4,12 +4,12 @@
 import org.tamaracktrack.standins.StandIn;
 import org.tamaracktrack.standins.StandInFlags;
 
-/** The flags of the plain service's stand-in. */
+/** Holds the flags of the plain service stand-in. */
 public final class ServiceFlags extends StandInFlags {
-    @Parameter(names = "--name", description = "the service's name in its answers")
+    @Parameter(names = "--name", description = "name of the service in its responses")
     private String name = "service";
 
-    @Parameter(names = "--delay-millis", description = "how long each call takes")
+    @Parameter(names = "--delay-millis", description = "duration of each request")
     private long delayMillis = 5;
 
     @Override
--- a/standins/src/main/java/org/tamaracktrack/standins/service/ServiceStandIn.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/service/ServiceStandIn.java
@@ -12,23 +12,23 @@
 import java.util.concurrent.locks.LockSupport;
 import org.tamaracktrack.link.codec.Codecs;
 import org.tamaracktrack.standins.StandIn;
-import org.tamaracktrack.standins.http.AnswerCutter;
-import org.tamaracktrack.standins.http.Answers;
 import org.tamaracktrack.standins.http.Control;
 import org.tamaracktrack.standins.http.Gate;
+import org.tamaracktrack.standins.http.HttpExchanges;
+import org.tamaracktrack.standins.http.ResponseTruncator;
 import org.tamaracktrack.standins.http.Sha256;
 
-/** A plain service, which counts how often each call ran. */
+/** Emulates a plain service, and counts the runs of each request. */
 public final class ServiceStandIn implements StandIn {
     private static final String REQUEST_ID = "X-Request-Id";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
     private final String name;
-    private final RunCounter byRequest = new RunCounter();
-    private final RunCounter byKey = new RunCounter();
-    private final RunCounter byBody = new RunCounter();
+    private final RunCounter runsByRequest = new RunCounter();
+    private final RunCounter runsByKey = new RunCounter();
+    private final RunCounter runsByBody = new RunCounter();
     private final Gate gate = new Gate();
-    private final AnswerCutter cutter = new AnswerCutter();
+    private final ResponseTruncator truncator = new ResponseTruncator();
     private volatile long delayMillis;
 
     private ServiceStandIn(String name, long delayMillis) {
@@ -39,8 +39,8 @@
     /**
      * Returns a service.
      *
-     * @param name its name in its answers
-     * @param delayMillis how long each call takes
+     * @param name the name of the service in its responses
+     * @param delayMillis the duration of each request in milliseconds
      * @return the stand-in
      */
     public static ServiceStandIn of(String name, long delayMillis) {
@@ -48,31 +48,32 @@
     }
 
     @Override
-    public HttpHandler service() {
-        return this::run;
+    public HttpHandler serviceHandler() {
+        return this::handleRequest;
     }
 
     @Override
-    public HttpHandler control() {
+    public HttpHandler controlHandler() {
         return Handlers.routing()
                 .put("/control/delay", this::setDelay)
-                .put("/control/freeze", this::freeze)
-                .put("/control/cut", this::cut)
-                .get("/control/runs", this::runs);
+                .put("/control/freeze", this::setFrozen)
+                .put("/control/cut", this::truncateNext)
+                .get("/control/runs", this::sendRuns);
     }
 
-    private void run(HttpServerExchange exchange) throws IOException {
-        byte[] body = Answers.body(exchange);
-        gate.pass();
-        int run = Answers.header(exchange, REQUEST_ID).map(byRequest::count).orElse(1);
-        Answers.header(exchange, IDEMPOTENCY_KEY).ifPresent(byKey::count);
-        byBody.count(Sha256.hex(body));
+    private void handleRequest(HttpServerExchange exchange) throws IOException {
+        byte[] body = HttpExchanges.readBody(exchange);
+        gate.awaitOpen();
+        int run =
+                HttpExchanges.header(exchange, REQUEST_ID).map(runsByRequest::increment).orElse(1);
+        HttpExchanges.header(exchange, IDEMPOTENCY_KEY).ifPresent(runsByKey::increment);
+        runsByBody.increment(Sha256.hex(body));
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(delayMillis));
-        gate.pass();
-        send(exchange, answer(exchange, body, run));
+        gate.awaitOpen();
+        send(exchange, responseBody(exchange, body, run));
     }
 
-    private Map<String, Object> answer(HttpServerExchange exchange, byte[] body, int run) {
+    private Map<String, Object> responseBody(HttpServerExchange exchange, byte[] body, int run) {
         String query = exchange.getQueryString();
         String path = exchange.getRequestPath();
         return new TreeMap<>(
@@ -89,37 +90,38 @@
                         run));
     }
 
-    private void send(HttpServerExchange exchange, Map<String, Object> answer) throws IOException {
-        byte[] bytes = Codecs.encode(Codecs.json(), answer);
+    private void send(HttpServerExchange exchange, Map<String, Object> responseBody)
+            throws IOException {
+        byte[] bytes = Codecs.encode(Codecs.json(), responseBody);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.setResponseContentLength(bytes.length);
-        try (OutputStream output = cutter.output(exchange)) {
+        try (OutputStream output = truncator.output(exchange)) {
             output.write(bytes);
         }
     }
 
     private void setDelay(HttpServerExchange exchange) throws IOException {
-        delayMillis = Answers.body(exchange, Control.Millis.class).millis();
-        Answers.json(exchange, 200, Map.of());
+        delayMillis = HttpExchanges.readBody(exchange, Control.Millis.class).millis();
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
-    private void freeze(HttpServerExchange exchange) throws IOException {
-        gate.set(Answers.body(exchange, Control.Switch.class).on());
-        Answers.json(exchange, 200, Map.of());
+    private void setFrozen(HttpServerExchange exchange) throws IOException {
+        gate.setClosed(HttpExchanges.readBody(exchange, Control.Switch.class).on());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
-    private void cut(HttpServerExchange exchange) throws IOException {
-        cutter.set(Answers.body(exchange, Control.Cut.class));
-        Answers.json(exchange, 200, Map.of());
+    private void truncateNext(HttpServerExchange exchange) throws IOException {
+        truncator.truncateNext(HttpExchanges.readBody(exchange, Control.Cut.class));
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
-    private void runs(HttpServerExchange exchange) throws IOException {
-        Answers.json(
+    private void sendRuns(HttpServerExchange exchange) throws IOException {
+        HttpExchanges.sendJson(
                 exchange,
                 200,
                 Map.of(
-                        "runs", byRequest.runs(),
-                        "byKey", byKey.runs(),
-                        "byBody", byBody.runs()));
+                        "runs", runsByRequest.counts(),
+                        "byKey", runsByKey.counts(),
+                        "byBody", runsByBody.counts()));
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/service/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/service/package-info.java
@@ -1,2 +1,2 @@
-/** The plain service's stand-in. */
+/** The stand-in of a plain service. */
 package org.tamaracktrack.standins.service;
--- a/standins/src/main/java/org/tamaracktrack/standins/time/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/time/package-info.java
@@ -1,2 +1,2 @@
-/** Values that are seen late. */
+/** Values that readers receive with a lag. */
 package org.tamaracktrack.standins.time;
--- a/standins/src/main/java/org/tamaracktrack/standins/weights/TransferBook.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/weights/TransferLimiter.java
@@ -4,11 +4,11 @@
 import org.tamaracktrack.standins.http.TokenBucket;
 
 /**
- * Which transfers may start, and how long each takes. The store's rate is kept over time, with
- * bursts as large as the number of loads that run at once at full speed. Not safe for use by
- * several threads.
+ * Decides which transfers may start, and computes how long each takes. The rate is limited over
+ * time, and bursts are allowed up to the number of concurrent transfers that run at full speed. Not
+ * safe for use by several threads.
  */
-public final class TransferBook {
+public final class TransferLimiter {
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final int concurrentLoads;
@@ -20,34 +20,34 @@
     private long started;
     private long refused;
 
-    private TransferBook(int concurrentLoads, double mebibytesPerSecond, TokenBucket rate) {
+    private TransferLimiter(int concurrentLoads, double mebibytesPerSecond, TokenBucket rate) {
         this.concurrentLoads = concurrentLoads;
         this.mebibytesPerSecond = mebibytesPerSecond;
         this.rate = rate;
     }
 
     /**
-     * What the control interface tells.
+     * The state of the transfers, as the control interface returns it.
      *
-     * @param active transfers under way
-     * @param highestActive the most there ever were at once
-     * @param started transfers started
-     * @param refused transfers refused
+     * @param active the number of transfers in progress
+     * @param highestActive the highest number of concurrent transfers so far
+     * @param started the number of transfers started
+     * @param refused the number of transfers refused
      */
     public record State(int active, int highestActive, long started, long refused) {}
 
     /**
-     * Returns a book without transfers.
+     * Returns a limiter without transfers.
      *
-     * @param loadsPerSecond the limit of the rate
-     * @param concurrentLoads loads at once at full speed
+     * @param loadsPerSecond the rate limit of transfers
+     * @param concurrentLoads the number of concurrent transfers that run at full speed
      * @param mebibytesPerSecond the full speed of one transfer
-     * @param nowMillis the time
-     * @return the book
+     * @param nowMillis the current time in milliseconds
+     * @return the limiter
      */
-    public static TransferBook of(
+    public static TransferLimiter of(
             double loadsPerSecond, int concurrentLoads, double mebibytesPerSecond, long nowMillis) {
-        return new TransferBook(
+        return new TransferLimiter(
                 concurrentLoads,
                 mebibytesPerSecond,
                 TokenBucket.of(loadsPerSecond, concurrentLoads, nowMillis));
@@ -56,20 +56,20 @@
     /**
      * Starts a transfer if the rate allows it.
      *
-     * @param mebibytes its size
-     * @param nowMillis the time
-     * @return how long it takes; empty when it is refused
+     * @param mebibytes the size of the weights
+     * @param nowMillis the current time in milliseconds
+     * @return the duration in milliseconds; empty if the transfer is refused
      */
     public OptionalLong start(long mebibytes, long nowMillis) {
-        if (!rate.take(nowMillis)) {
+        if (!rate.tryTake(nowMillis)) {
             refused++;
             return OptionalLong.empty();
         }
         started++;
         active++;
         highestActive = Math.max(highestActive, active);
-        double crowding = Math.max(1.0, (double) active / concurrentLoads);
-        double seconds = mebibytes / mebibytesPerSecond * crowding * slowFactor;
+        double contentionFactor = Math.max(1.0, (double) active / concurrentLoads);
+        double seconds = mebibytes / mebibytesPerSecond * contentionFactor * slowFactor;
         return OptionalLong.of(Math.round(seconds * MILLIS_PER_SECOND));
     }
 
@@ -79,16 +79,16 @@
     }
 
     /**
-     * Makes later transfers slower.
+     * Sets the factor by which later transfers are slowed down.
      *
-     * @param factor how many times slower than the full speed
+     * @param factor the factor by which the duration is multiplied
      */
-    public void slow(double factor) {
+    public void setSlowFactor(double factor) {
         slowFactor = factor;
     }
 
     /**
-     * Returns what the control interface tells.
+     * Returns the state of the transfers.
      *
      * @return the state
      */
--- a/standins/src/main/java/org/tamaracktrack/standins/weights/WeightStoreFlags.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/weights/WeightStoreFlags.java
@@ -4,15 +4,17 @@
 import org.tamaracktrack.standins.StandIn;
 import org.tamaracktrack.standins.StandInFlags;
 
-/** The flags of the weight store's stand-in. */
+/** Holds the flags of the weight store stand-in. */
 public final class WeightStoreFlags extends StandInFlags {
-    @Parameter(names = "--loads-per-second", description = "limit of the rate of loads")
+    @Parameter(names = "--loads-per-second", description = "rate limit of loads")
     private double loadsPerSecond = 1.4;
 
-    @Parameter(names = "--concurrent-loads", description = "loads at once at full speed")
+    @Parameter(
+            names = "--concurrent-loads",
+            description = "concurrent loads that run at full speed")
     private int concurrentLoads = 11;
 
-    @Parameter(names = "--mebibytes-per-second", description = "speed of one transfer")
+    @Parameter(names = "--mebibytes-per-second", description = "full speed of one load")
     private double mebibytesPerSecond = 1000;
 
     @Override
--- a/standins/src/main/java/org/tamaracktrack/standins/weights/WeightStoreStandIn.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/weights/WeightStoreStandIn.java
@@ -8,14 +8,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import org.tamaracktrack.standins.StandIn;
-import org.tamaracktrack.standins.http.Answers;
-import org.tamaracktrack.standins.http.BadCallException;
+import org.tamaracktrack.standins.http.HttpErrorException;
+import org.tamaracktrack.standins.http.HttpExchanges;
 
-/** The rate-limited store of weights. */
+/**
+ * Emulates the weight store, which limits the rate of loads. Sends no weights: only the duration of
+ * a load is emulated.
+ */
 public final class WeightStoreStandIn implements StandIn {
-    private final TransferBook transfers;
+    private final TransferLimiter transfers;
 
-    private WeightStoreStandIn(TransferBook transfers) {
+    private WeightStoreStandIn(TransferLimiter transfers) {
         this.transfers = transfers;
     }
 
@@ -24,15 +27,15 @@
     /**
      * Returns a weight store.
      *
-     * @param loadsPerSecond the limit of the rate
-     * @param concurrentLoads loads at once at full speed
-     * @param mebibytesPerSecond the full speed of one transfer
+     * @param loadsPerSecond the rate limit of loads
+     * @param concurrentLoads the number of concurrent loads that run at full speed
+     * @param mebibytesPerSecond the full speed of one load
      * @return the stand-in
      */
     public static WeightStoreStandIn of(
             double loadsPerSecond, int concurrentLoads, double mebibytesPerSecond) {
         return new WeightStoreStandIn(
-                TransferBook.of(
+                TransferLimiter.of(
                         loadsPerSecond,
                         concurrentLoads,
                         mebibytesPerSecond,
@@ -40,56 +43,56 @@
     }
 
     @Override
-    public HttpHandler service() {
+    public HttpHandler serviceHandler() {
         return Handlers.routing().get("/weights/{name}/{version}", this::transfer);
     }
 
     @Override
-    public HttpHandler control() {
+    public HttpHandler controlHandler() {
         return Handlers.routing()
-                .put("/control/slow", this::slow)
-                .get("/control/state", this::state);
+                .put("/control/slow", this::setSlowFactor)
+                .get("/control/state", this::sendState);
     }
 
     private void transfer(HttpServerExchange exchange) throws IOException {
-        long mebibytes = Answers.query(exchange, "mebibytes", 0);
-        long millis = start(mebibytes);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long mebibytes = HttpExchanges.queryParameter(exchange, "mebibytes", 0);
+        long millis = startTransfer(mebibytes);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         try {
-            long left = until - System.nanoTime();
-            while (left > 0) {
-                LockSupport.parkNanos(left);
-                left = until - System.nanoTime();
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            while (remainingNanos > 0) {
+                LockSupport.parkNanos(remainingNanos);
+                remainingNanos = deadlineNanos - System.nanoTime();
             }
         } finally {
-            end();
+            endTransfer();
         }
-        Answers.json(exchange, 200, Map.of("mebibytes", mebibytes));
+        HttpExchanges.sendJson(exchange, 200, Map.of("mebibytes", mebibytes));
     }
 
-    private synchronized long start(long mebibytes) {
+    private synchronized long startTransfer(long mebibytes) {
         return transfers
                 .start(mebibytes, System.currentTimeMillis())
-                .orElseThrow(() -> BadCallException.of(429, "rate"));
+                .orElseThrow(() -> HttpErrorException.of(429, "rate"));
     }
 
-    private synchronized void end() {
+    private synchronized void endTransfer() {
         transfers.end();
     }
 
-    private void slow(HttpServerExchange exchange) throws IOException {
-        double factor = Answers.body(exchange, Slow.class).factor();
+    private void setSlowFactor(HttpServerExchange exchange) throws IOException {
+        double factor = HttpExchanges.readBody(exchange, Slow.class).factor();
         synchronized (this) {
-            transfers.slow(factor);
+            transfers.setSlowFactor(factor);
         }
-        Answers.json(exchange, 200, Map.of());
+        HttpExchanges.sendJson(exchange, 200, Map.of());
     }
 
-    private void state(HttpServerExchange exchange) throws IOException {
-        TransferBook.State state;
+    private void sendState(HttpServerExchange exchange) throws IOException {
+        TransferLimiter.State state;
         synchronized (this) {
             state = transfers.state();
         }
-        Answers.json(exchange, 200, state);
+        HttpExchanges.sendJson(exchange, 200, state);
     }
 }
--- a/standins/src/main/java/org/tamaracktrack/standins/weights/package-info.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/weights/package-info.java
@@ -1,2 +1,2 @@
-/** The weight store's stand-in. */
+/** The stand-in of the weight store. */
 package org.tamaracktrack.standins.weights;
--- a/standins/src/test/java/org/tamaracktrack/standins/engine/BatchSchedulerTest.java
+++ b/standins/src/test/java/org/tamaracktrack/standins/engine/BatchSchedulerTest.java
@@ -22,7 +22,7 @@
     }
 
     @Property(seed = "4711")
-    void shouldGiveEachRequestItsTokensInOrder(
+    void shouldGenerateTheTokensOfEachRequestInOrder(
             @ForAll @Size(max = 30) List<@IntRange(min = 1, max = 9) Integer> lengths,
             @ForAll @IntRange(min = 1, max = 5) int concurrency) {
         BatchScheduler scheduler = BatchScheduler.of(COSTS, concurrency, 100);
@@ -31,24 +31,24 @@
         Map<Long, Integer> tokens = new HashMap<>();
         while (scheduler.beginStep().isPresent()) {
             assertThat(scheduler.running()).isAtMost(concurrency);
-            scheduler.endStep().forEach(token -> assertNext(tokens, token, lengths));
+            scheduler.endStep().forEach(token -> assertNextToken(tokens, token, lengths));
         }
         assertThat(tokens.keySet()).hasSize(lengths.size());
         assertThat(scheduler.queued()).isEqualTo(0);
     }
 
-    private static void assertNext(
+    private static void assertNextToken(
             Map<Long, Integer> tokens, BatchScheduler.Token token, List<Integer> lengths) {
-        assertThat(token.index()).isEqualTo(tokens.getOrDefault(token.job(), 0));
-        int length = lengths.get((int) token.job());
+        assertThat(token.index()).isEqualTo(tokens.getOrDefault(token.jobNumber(), 0));
+        int length = lengths.get((int) token.jobNumber());
         assertThat(token.last()).isEqualTo(token.index() == length - 1);
-        tokens.put(token.job(), token.index() + 1);
+        tokens.put(token.jobNumber(), token.index() + 1);
     }
 
     @Nested
     class Costs {
         @Test
-        void shouldGrowWithTheBatchAndThePrompt() {
+        void shouldIncreaseWithBatchSizeAndPromptLength() {
             BatchScheduler scheduler = BatchScheduler.of(COSTS, 8, 8);
             scheduler.submit(job(1, 0, 2));
             assertThat(scheduler.beginStep().orElseThrow().micros()).isEqualTo(1040);
@@ -61,7 +61,7 @@
     @Nested
     class Queue {
         @Test
-        void shouldStartHigherPrioritiesFirst() {
+        void shouldStartTheRequestOfHighestPriorityFirst() {
             BatchScheduler scheduler = BatchScheduler.of(COSTS, 1, 8);
             scheduler.submit(job(1, 1, 1));
             scheduler.submit(job(2, 5, 1));
@@ -69,14 +69,14 @@
         }
 
         @Test
-        void shouldRefuseWhenItIsFull() {
+        void shouldRejectARequestWhenFull() {
             BatchScheduler scheduler = BatchScheduler.of(COSTS, 1, 1);
             assertThat(scheduler.submit(job(1, 0, 1))).isTrue();
             assertThat(scheduler.submit(job(2, 0, 1))).isFalse();
         }
 
         @Test
-        void shouldForgetCancelledRequests() {
+        void shouldRemoveCancelledRequests() {
             BatchScheduler scheduler = BatchScheduler.of(COSTS, 1, 8);
             scheduler.submit(job(1, 0, 5));
             scheduler.submit(job(2, 0, 5));
@@ -84,7 +84,7 @@
             scheduler.cancel(1);
             scheduler.cancel(2);
             assertThat(scheduler.beginStep()).isEqualTo(Optional.empty());
-            assertThat(scheduler.uses("m")).isFalse();
+            assertThat(scheduler.isInUse("m")).isFalse();
         }
     }
 }
--- a/standins/src/test/java/org/tamaracktrack/standins/engine/EngineStandInTest.java
+++ b/standins/src/test/java/org/tamaracktrack/standins/engine/EngineStandInTest.java
@@ -31,16 +31,16 @@
 
     @BeforeEach
     void start() throws Exception {
-        MemoryBook memory = MemoryBook.of(0, false);
-        memory.add("a0", 100);
+        AcceleratorMemory memory = AcceleratorMemory.of(0, false);
+        memory.addAccelerator("a0", 100);
         server =
                 StandInServer.start(
                         EngineStandIn.of(
                                 memory,
-                                OrderBook.of(true),
+                                OrderTracker.of(true),
                                 BatchScheduler.of(BatchCosts.of(1, 0, 1), 4, 4),
                                 PrefixCache.of(4),
-                                FixedTimeWeights.of(1),
+                                FixedDelayWeightSource.of(1),
                                 1,
                                 0),
                         0,
@@ -80,14 +80,14 @@
                 .build();
     }
 
-    private JsonNode json(HttpResponse<String> answer) {
+    private JsonNode json(HttpResponse<String> response) {
         return Codecs.decode(
-                Codecs.json(), answer.body().getBytes(StandardCharsets.UTF_8), JsonNode.class);
+                Codecs.json(), response.body().getBytes(StandardCharsets.UTF_8), JsonNode.class);
     }
 
-    private void awaitInventory(Predicate<JsonNode> wanted) throws Exception {
+    private void awaitInventory(Predicate<JsonNode> condition) throws Exception {
         JsonNode inventory = json(send(request("/admin/inventory").build()));
-        while (!wanted.test(inventory)) {
+        while (!condition.test(inventory)) {
             inventory = json(send(request("/admin/inventory").build()));
         }
     }
@@ -100,15 +100,15 @@
     }
 
     @Test
-    void shouldNameThePromptInAWholeAnswer() throws Exception {
-        HttpResponse<String> answer = send(completion("{\"prompt\":\"hello\",\"max_tokens\":3}"));
-        assertThat(answer.statusCode()).isEqualTo(200);
-        assertThat(json(answer).get("prompt_sha256").asText()).isEqualTo(Sha256.hex("hello"));
-        assertThat(json(answer).at("/usage/completion_tokens").asInt()).isEqualTo(3);
+    void shouldReturnThePromptHashInACompleteResponse() throws Exception {
+        HttpResponse<String> response = send(completion("{\"prompt\":\"hello\",\"max_tokens\":3}"));
+        assertThat(response.statusCode()).isEqualTo(200);
+        assertThat(json(response).get("prompt_sha256").asText()).isEqualTo(Sha256.hex("hello"));
+        assertThat(json(response).at("/usage/completion_tokens").asInt()).isEqualTo(3);
     }
 
     @Test
-    void shouldGoOnWithAStreamFromAToken() throws Exception {
+    void shouldResumeAStreamFromTheRequestedToken() throws Exception {
         String body = "{\"prompt\":\"hello\",\"max_tokens\":4,\"stream\":true}";
         String whole = send(completion(body)).body();
         HttpRequest resumed =
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void shouldCutAnAnswerAsTold() throws Exception {
+    void shouldTruncateOneResponseWhenSetToDoSo() throws Exception {
         control("/control/cut", "{\"afterBytes\":10,\"count\":1}");
         HttpRequest request = completion("{\"prompt\":\"hello\"}");
         assertThrows(IOException.class, () -> send(request));
@@ -129,15 +129,15 @@
     }
 
     @Test
-    void shouldAnswerOnlyAfterTheThaw() throws Exception {
+    void shouldRespondOnlyAfterItIsUnfrozen() throws Exception {
         control("/control/freeze", "{\"on\":true}");
-        CompletableFuture<HttpResponse<String>> answer =
+        CompletableFuture<HttpResponse<String>> response =
                 client.sendAsync(
                         completion("{\"prompt\":\"hello\"}"), HttpResponse.BodyHandlers.ofString());
         JsonNode state = control("/control/runs");
         assertThat(state.get("runs").isEmpty()).isTrue();
         control("/control/freeze", "{\"on\":false}");
-        assertThat(answer.get(5, TimeUnit.SECONDS).statusCode()).isEqualTo(200);
+        assertThat(response.get(5, TimeUnit.SECONDS).statusCode()).isEqualTo(200);
     }
 
     private JsonNode control(String path) throws Exception {
@@ -146,14 +146,14 @@
     }
 
     @Test
-    void shouldRefuseAnOldFencingNumber() throws Exception {
-        HttpResponse<String> answer = order("o2", 4, "unload_model");
-        assertThat(answer.statusCode()).isEqualTo(409);
-        assertThat(answer.body()).contains("fenced");
+    void shouldRejectAnOrderWithAnOldFencingNumber() throws Exception {
+        HttpResponse<String> response = order("o2", 4, "unload_model");
+        assertThat(response.statusCode()).isEqualTo(409);
+        assertThat(response.body()).contains("fenced");
     }
 
     @Test
-    void shouldLoseAnOrderAsTold() throws Exception {
+    void shouldLoseOneOrderWhenSetToDoSo() throws Exception {
         control("/control/orders", "{\"lose\":1,\"delayMillis\":0,\"double\":0}");
         assertThat(order("o2", 6, "unload_model").statusCode()).isEqualTo(202);
         JsonNode state = control("/control/state");
@@ -161,10 +161,11 @@
     }
 
     @Test
-    void shouldStopTheWorkOfACallerThatGoesAway() throws Exception {
-        // The caller closes its connection while a long whole answer is being made. Nothing is
-        // written to it before the end, so only a read can show that it has gone; without that
-        // the batch would go on making 100,000 tokens for nobody.
+    void shouldCancelTheRequestWhenTheClientDisconnects() throws Exception {
+        // The client closes its connection while a long response that isn't streamed is generated.
+        // Nothing is written to the connection before the end, so only a read can detect the
+        // disconnect. Without it, the batch would go on to generate 100,000 tokens that nobody
+        // receives.
         try (Socket socket = new Socket("127.0.0.1", server.port())) {
             String body = "{\"prompt\":\"hello\",\"max_tokens\":100000}";
             String head =
--- a/standins/src/test/java/org/tamaracktrack/standins/log/LogStoreTest.java
+++ b/standins/src/test/java/org/tamaracktrack/standins/log/LogStoreTest.java
@@ -11,7 +11,7 @@
 class LogStoreTest {
 
     @Property(seed = "12")
-    void shouldGiveAGaplessPartOfTheStream(
+    void shouldReadAGaplessRangeOfTheStream(
             @ForAll @IntRange(max = 50) int appends,
             @ForAll @IntRange(min = 1, max = 60) int retained,
             @ForAll @IntRange(max = 60) int from,
@@ -27,23 +27,23 @@
         for (int record = 0; record < page.records().size(); record++) {
             assertThat(page.records().get(record).body()).isEqualTo("b" + (first + record));
         }
-        long wanted = Math.min(maximum, Math.max(0, appends - first));
-        assertThat(page.records()).hasSize((int) wanted);
+        long expectedRecords = Math.min(maximum, Math.max(0, appends - first));
+        assertThat(page.records()).hasSize((int) expectedRecords);
     }
 
     @Test
-    void shouldKeepStreamsApart() {
+    void shouldKeepStreamsSeparate() {
         LogStore store = LogStore.of(10);
         store.append("s", "x", 1);
         assertThat(store.read("t", 0, 10)).isEqualTo(new LogStore.Page(0, 0, List.of()));
     }
 
     @Test
-    void shouldExpireRecordsAtOnceWhenToldToKeepFewer() {
+    void shouldExpireRecordsAtOnceWhenRetentionIsReduced() {
         LogStore store = LogStore.of(10);
         store.append("s", "x", 1);
         store.append("s", "y", 1);
-        store.retain(1);
+        store.setRetainedRecords(1);
         assertThat(store.read("s", 0, 10).firstOffset()).isEqualTo(1);
     }
 }
