--- a/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
@@ -138,9 +138,10 @@
     private static ExitCode superseded(
             Output output, Publication request, ConfigurationEvent.Superseded superseded) {
         output.line(
-                "superseded: version %d came first and this was based on %d; see what changed with"
+                "superseded: version %d came first and this publication is based on version %d;"
                                 .formatted(superseded.versionInForce(), request.basedOn())
-                        + " `tamaracktrack diff FILE`, bring it in, and publish again");
+                        + " see what changed with `tamaracktrack diff FILE`, merge the changes into"
+                        + " the file, and publish again");
         if (output.format() != OutputFormat.TABLE) {
             output.json(
                     result(
--- a/cli/src/main/java/org/tamaracktrack/cli/log/Publisher.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/log/Publisher.java
@@ -106,7 +106,7 @@
                             + " is in force and this publication is based on "
                             + publication.basedOn()
                             + "; nothing was written: see what changed with `tamaracktrack diff"
-                            + " FILE`, bring it in, and publish again");
+                            + " FILE`, merge the changes into the file, and publish again");
         }
     }
 
--- a/standins/src/main/java/org/tamaracktrack/standins/Main.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/Main.java
@@ -32,8 +32,8 @@
     private Main() {}
 
     /**
-     * Starts the stand-ins and prints their ports as {@code ready port=… control=…}. Returns while
-     * the servers keep the process running.
+     * Starts the stand-ins and prints their ports as {@code ready port=… control=…}. The servers
+     * keep the process running after this method has returned.
      *
      * @param arguments the kind and its flags
      */
