--- a/standins/src/main/java/org/tamaracktrack/standins/engine/EngineFlags.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/EngineFlags.java
@@ -38,7 +38,9 @@
     @Parameter(names = "--prefix-cache", description = "capacity of the prefix cache in prefixes")
     private int prefixCacheCapacity = 64;
 
-    @Parameter(names = "--time-factor", description = "divisor of the times of the other flags")
+    @Parameter(
+            names = "--time-factor",
+            description = "divisor of the token, prompt, load and unload times")
     private double timeFactor = 1;
 
     @Parameter(names = "--weights", description = "address of the weight store")
