--- a/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/PublishCommand.java
@@ -72,9 +72,9 @@
         RetryTimer timer = logOptions().retryTimer(environment);
         ConfigurationLog configuration = ConfigurationLog.of(client);
         configuration.readToEnd(timer);
-        Publication request = publication(environment, configuration, tree);
-        ConfigurationEvent outcome = Publisher.of(client, configuration, timer).publish(request);
-        return report(output, request, outcome);
+        Publication proposal = publication(environment, configuration, tree);
+        ConfigurationEvent outcome = Publisher.of(client, configuration, timer).publish(proposal);
+        return report(output, proposal, outcome);
     }
 
     private Publication publication(
@@ -97,19 +97,20 @@
                 note);
     }
 
-    private static ExitCode report(Output output, Publication request, ConfigurationEvent outcome) {
+    private static ExitCode report(
+            Output output, Publication proposal, ConfigurationEvent outcome) {
         if (outcome instanceof ConfigurationEvent.Accepted accepted) {
-            return accepted(output, request, accepted);
+            return accepted(output, proposal, accepted);
         }
         if (outcome instanceof ConfigurationEvent.Superseded superseded) {
-            return superseded(output, request, superseded);
+            return superseded(output, proposal, superseded);
         }
         ValidationOutput.writeProblems(output, ((ConfigurationEvent.Invalid) outcome).problems());
         return ExitCode.INVALID;
     }
 
     private static ExitCode accepted(
-            Output output, Publication request, ConfigurationEvent.Accepted accepted) {
+            Output output, Publication proposal, ConfigurationEvent.Accepted accepted) {
         List<Warning> warnings = accepted.warnings();
         if (output.format() == OutputFormat.TABLE) {
             if (!warnings.isEmpty()) {
@@ -119,13 +120,13 @@
                     "accepted: version %d, publication %s, %d warnings"
                             .formatted(
                                     accepted.record().offset(),
-                                    request.publication(),
+                                    proposal.publication(),
                                     warnings.size()));
             return ExitCode.OK;
         }
         output.json(
                 result(
-                        request,
+                        proposal,
                         "accepted",
                         Map.of(
                                 "version",
@@ -136,16 +137,16 @@
     }
 
     private static ExitCode superseded(
-            Output output, Publication request, ConfigurationEvent.Superseded superseded) {
+            Output output, Publication proposal, ConfigurationEvent.Superseded superseded) {
         output.line(
                 "superseded: version %d came first and this publication is based on version %d;"
-                                .formatted(superseded.versionInForce(), request.basedOn())
+                                .formatted(superseded.versionInForce(), proposal.basedOn())
                         + " see what changed with `tamaracktrack diff FILE`, merge the changes into"
                         + " the file, and publish again");
         if (output.format() != OutputFormat.TABLE) {
             output.json(
                     result(
-                            request,
+                            proposal,
                             "superseded",
                             Map.of("versionInForce", superseded.versionInForce())));
         }
@@ -153,11 +154,11 @@
     }
 
     private static Map<String, Object> result(
-            Publication request, String outcome, Map<String, Object> details) {
+            Publication proposal, String outcome, Map<String, Object> details) {
         Map<String, Object> result = new LinkedHashMap<>(details);
         result.put("outcome", outcome);
-        result.put("publication", request.publication().value());
-        result.put("basedOn", request.basedOn());
+        result.put("publication", proposal.publication().value());
+        result.put("basedOn", proposal.basedOn());
         return result;
     }
 }
--- a/cli/src/main/java/org/tamaracktrack/cli/command/ReportOutput.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/command/ReportOutput.java
@@ -15,13 +15,13 @@
     // place for it, so the period goes to the error stream in that format.
     static void write(Environment environment, Output output, ReportTables tables, Table table) {
         if (output.format() == OutputFormat.JSON) {
-            Map<String, Object> result = new LinkedHashMap<>(tables.span());
+            Map<String, Object> result = new LinkedHashMap<>(tables.period());
             result.put("rows", table.asMaps());
             output.json(result);
             return;
         }
         output.table(table);
-        tables.spanLines()
+        tables.periodLines()
                 .forEach(
                         line -> {
                             if (output.format() == OutputFormat.CSV) {
--- a/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
+++ b/cli/src/main/java/org/tamaracktrack/cli/report/ReportTables.java
@@ -149,13 +149,13 @@
      *
      * @return the values by key
      */
-    public Map<String, Object> span() {
-        Map<String, Object> span = new LinkedHashMap<>();
-        span.put("from", time(report.fromMillis()));
-        span.put("completeTo", time(report.completeToMillis()));
-        span.put("complete", report.isComplete());
-        span.put("recordsLost", report.recordsLost());
-        span.put(
+    public Map<String, Object> period() {
+        Map<String, Object> period = new LinkedHashMap<>();
+        period.put("from", time(report.fromMillis()));
+        period.put("completeTo", time(report.completeToMillis()));
+        period.put("complete", report.isComplete());
+        period.put("recordsLost", report.recordsLost());
+        period.put(
                 "missing",
                 report.missing().stream()
                         .map(
@@ -166,7 +166,7 @@
                                                 "knownTo",
                                                 time(missing.lastTakenMillis())))
                         .toList());
-        return span;
+        return period;
     }
 
     /**
@@ -174,7 +174,7 @@
      *
      * @return the lines
      */
-    public List<String> spanLines() {
+    public List<String> periodLines() {
         List<String> lines = new ArrayList<>();
         if (report.completeToMillis().isEmpty()) {
             lines.add("no process has published a report");
--- a/standins/src/main/java/org/tamaracktrack/standins/engine/OrderHandler.java
+++ b/standins/src/main/java/org/tamaracktrack/standins/engine/OrderHandler.java
@@ -146,7 +146,7 @@
                     case SET_ROLE -> setRole(order.role());
                 };
         switch (result) {
-            case STARTED -> executor.execute(() -> finish(order));
+            case STARTED -> executor.execute(() -> completeOrder(order));
             case ALREADY_DONE ->
                     orderTracker.recordOutcome(order.orderId(), OrderTracker.Outcome.DONE);
             default -> orderTracker.recordOutcome(order.orderId(), OrderTracker.Outcome.REFUSED);
@@ -159,18 +159,18 @@
         return AcceleratorMemory.BeginResult.ALREADY_DONE;
     }
 
-    private void finish(EngineOrder order) {
+    private void completeOrder(EngineOrder order) {
         boolean load =
                 order.kind() == EngineOrder.Kind.LOAD_MODEL
                         || order.kind() == EngineOrder.Kind.LOAD_ADAPTER;
         if (load) {
-            finishLoad(order);
+            completeLoad(order);
         } else {
-            finishUnload(order);
+            completeUnload(order);
         }
     }
 
-    private void finishLoad(EngineOrder order) {
+    private void completeLoad(EngineOrder order) {
         String name = order.adapter() == null ? order.model() : order.adapter();
         boolean loaded = weightSource.fetch(name, order.version(), order.mebibytes());
         gate.awaitOpen();
@@ -182,7 +182,7 @@
         }
     }
 
-    private void finishUnload(EngineOrder order) {
+    private void completeUnload(EngineOrder order) {
         batchRunner.awaitUnused(order.model(), UNUSED_WAIT_LIMIT_MILLIS);
         FixedDelayWeightSource.of(unloadMillis).fetch(order.model(), "", 0);
         gate.awaitOpen();
