--- a/core/src/main/java/org/tamaracktrack/core/dispatch/FailurePolicy.java
+++ b/core/src/main/java/org/tamaracktrack/core/dispatch/FailurePolicy.java
@@ -116,8 +116,9 @@
 
     /**
      * Decides how a request continues after a failed attempt. A retry is taken from the allowance
-     * only when the decision is {@code AGAIN}. * @param route the route of the request
+     * only when the decision is {@code AGAIN}.
      *
+     * @param route the route of the request
      * @param end how the last attempt ended
      * @param history the attempts so far, including the last one
      * @param remainingMillis time until the deadline of the caller, in milliseconds
--- a/core/src/main/java/org/tamaracktrack/core/dispatch/RetryAllowance.java
+++ b/core/src/main/java/org/tamaracktrack/core/dispatch/RetryAllowance.java
@@ -76,8 +76,9 @@
     }
 
     /**
-     * Records a request of a caller, which earns credit. * * @param nowMillis the monotonic time in
-     * milliseconds
+     * Records a request of a caller, which earns credit.
+     *
+     * @param nowMillis the monotonic time in milliseconds
      */
     public void recordRequest(long nowMillis) {
         expire(nowMillis);
--- a/core/src/main/java/org/tamaracktrack/core/quarantine/QuarantineRegister.java
+++ b/core/src/main/java/org/tamaracktrack/core/quarantine/QuarantineRegister.java
@@ -77,8 +77,9 @@
     }
 
     /**
-     * Removes an end, which no longer counts. * @param request the request
+     * Removes an end, which no longer counts.
      *
+     * @param request the request
      * @param target the target
      */
     public void remove(RequestFingerprint request, TargetIncarnation target) {
--- a/core/src/test/java/org/tamaracktrack/core/dispatch/SimulatedFleet.java
+++ b/core/src/test/java/org/tamaracktrack/core/dispatch/SimulatedFleet.java
@@ -98,9 +98,9 @@
     }
 
     /**
-     * The counts of requests by outcome. * @param inTime answers whose first event and gaps met the
-     * objective
+     * The counts of requests by outcome.
      *
+     * @param inTime answers whose first event and gaps met the objective
      * @param late the other answers
      * @param refused requests that were refused immediately
      * @param mostOutstanding the largest number of requests at one engine
--- a/core/src/test/java/org/tamaracktrack/core/knowledge/StalenessSimulation.java
+++ b/core/src/test/java/org/tamaracktrack/core/knowledge/StalenessSimulation.java
@@ -133,8 +133,9 @@
     }
 
     /**
-     * Runs a random simulation. * @param seed seed of the random numbers
+     * Runs a random simulation.
      *
+     * @param seed seed of the random numbers
      * @param parameters the parameters
      * @return the simulation after its end
      */
